--- a/tests/DigestTargetsTest.cpp
+++ b/tests/DigestTargetsTest.cpp
@@ -6,7 +6,7 @@
 
 using namespace onyx;
 
-// Found by PolicyBench at the target's size: chosen by rendezvous, one box heard from 8 of 340
+// Found by a simulation at the target's size: chosen by rendezvous, one box heard from 8 of 340
 // boxes, took the mean for too low and refused requests for a whole minute.
 TEST_CASE("Every box sends its digests to as many boxes as it hears from") {
     constexpr size_t kBoxes = 340;
--- a/tests/HomeAdmissionTest.cpp
+++ b/tests/HomeAdmissionTest.cpp
@@ -167,7 +167,7 @@
     CHECK(FirstIs<Full>(home.ask(late, {3})));
 }
 
-// Found by PolicyBench at the target's size: while the load rises, the digests' mean is old, and
+// Found by a simulation at the target's size: while the load rises, the digests' mean is old, and
 // requests were refused although every engine had room.
 TEST_CASE("What the asker saw on its way lets a late mean catch up") {
     HomeAdmission home = SettledHome({Engine("a"), Engine("b")});
