--- a/bench/CapacityBench.cpp
+++ b/modules/standalone/bench/CapacityBench.cpp
@@ -2,13 +2,13 @@
 // each, and fits a line. docs/CAPACITY.md is worked out from these slopes; scripts/capacity runs
 // this and the slopes of the processes, and makes the plot.
 #include "include/base/Hash.h"
-#include "include/config/Snapshot.h"
-#include "include/idempotency/KeyOwner.h"
 #include "include/observe/Metrics.h"
-#include "include/placement/ChatIndex.h"
-#include "include/placement/HomeAdmission.h"
-#include "include/placement/RendezvousOrder.h"
 #include "include/wire/FrameCodec.h"
+#include "modules/standalone/include/config/Snapshot.h"
+#include "modules/standalone/include/idempotency/KeyOwner.h"
+#include "modules/standalone/include/placement/ChatIndex.h"
+#include "modules/standalone/include/placement/HomeAdmission.h"
+#include "modules/standalone/include/placement/RendezvousOrder.h"
 
 #include <fmt/format.h>
 #include <malloc.h>
--- a/include/admin/AdminService.h
+++ b/modules/standalone/include/admin/AdminService.h
@@ -2,9 +2,9 @@
 // condition, and is done.
 #pragma once
 
-#include "generated/onyx_admin.grpc.pb.h"
 #include "include/net/Net.h"
-#include "include/store/ObjectClient.h"
+#include "modules/standalone/generated/onyx_admin.grpc.pb.h"
+#include "modules/standalone/include/store/ObjectClient.h"
 
 namespace onyx {
 
--- a/include/admin/BoxQuery.h
+++ b/modules/standalone/include/admin/BoxQuery.h
@@ -1,9 +1,9 @@
 // Asks boxes directly what they have in force.
 #pragma once
 
-#include "include/config/Snapshot.h"
 #include "include/net/Net.h"
-#include "include/store/ObjectClient.h"
+#include "modules/standalone/include/config/Snapshot.h"
+#include "modules/standalone/include/store/ObjectClient.h"
 
 #include <optional>
 #include <string>
--- a/include/admin/ConfigEditor.h
+++ b/modules/standalone/include/admin/ConfigEditor.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "include/base/Result.h"
-#include "include/config/Snapshot.h"
+#include "modules/standalone/include/config/Snapshot.h"
 
 #include <map>
 #include <string>
--- a/include/admin/ConfigStore.h
+++ b/modules/standalone/include/admin/ConfigStore.h
@@ -2,8 +2,8 @@
 // lost answer is settled by reading back.
 #pragma once
 
-#include "include/admin/ConfigEditor.h"
-#include "include/store/ObjectClient.h"
+#include "modules/standalone/include/admin/ConfigEditor.h"
+#include "modules/standalone/include/store/ObjectClient.h"
 
 #include <string>
 #include <vector>
--- a/include/agent/Agent.h
+++ b/modules/standalone/include/agent/Agent.h
@@ -2,10 +2,10 @@
 // the router's calls. Stateless: it may die and start again at any time.
 #pragma once
 
-#include "include/agent/AgentSettings.h"
-#include "include/config/Snapshot.h"
-#include "include/store/ObjectClient.h"
 #include "include/wire/FrameLink.h"
+#include "modules/standalone/include/agent/AgentSettings.h"
+#include "modules/standalone/include/config/Snapshot.h"
+#include "modules/standalone/include/store/ObjectClient.h"
 
 #include <map>
 #include <memory>
--- a/include/config/Snapshot.h
+++ b/modules/standalone/include/config/Snapshot.h
@@ -2,11 +2,11 @@
 // from the shards that the platform holds.
 #pragma once
 
-#include "include/admission/FairQueue.h"
 #include "include/base/Ids.h"
 #include "include/base/Result.h"
 #include "include/net/Net.h"
-#include "include/placement/LoadBound.h"
+#include "modules/standalone/include/admission/FairQueue.h"
+#include "modules/standalone/include/placement/LoadBound.h"
 
 #include <map>
 #include <memory>
--- a/include/idempotency/KeyOwner.h
+++ b/modules/standalone/include/idempotency/KeyOwner.h
@@ -2,9 +2,9 @@
 // repeats from its ledger, and says "not run" only of keys that it closes. A pure state machine.
 #pragma once
 
-#include "include/base/Outcome.h"
-#include "include/idempotency/KeyLedger.h"
-#include "include/membership/RosterKeeper.h"
+#include "modules/standalone/include/base/Outcome.h"
+#include "modules/standalone/include/idempotency/KeyLedger.h"
+#include "modules/standalone/include/membership/RosterKeeper.h"
 
 #include <map>
 #include <optional>
--- a/include/membership/MemberView.h
+++ b/modules/standalone/include/membership/MemberView.h
@@ -4,7 +4,7 @@
 
 #include "include/base/Ids.h"
 #include "include/base/Time.h"
-#include "include/membership/Roster.h"
+#include "modules/standalone/include/membership/Roster.h"
 
 #include <map>
 #include <set>
--- a/include/membership/RosterKeeper.h
+++ b/modules/standalone/include/membership/RosterKeeper.h
@@ -6,11 +6,11 @@
 
 #include "include/base/Ids.h"
 #include "include/base/Time.h"
-#include "include/membership/LeaseHolder.h"
-#include "include/membership/MemberView.h"
-#include "include/membership/PromiseBook.h"
-#include "include/membership/Roster.h"
-#include "include/membership/RosterProposal.h"
+#include "modules/standalone/include/membership/LeaseHolder.h"
+#include "modules/standalone/include/membership/MemberView.h"
+#include "modules/standalone/include/membership/PromiseBook.h"
+#include "modules/standalone/include/membership/Roster.h"
+#include "modules/standalone/include/membership/RosterProposal.h"
 
 #include <map>
 #include <optional>
--- a/include/membership/RosterProposal.h
+++ b/modules/standalone/include/membership/RosterProposal.h
@@ -5,8 +5,8 @@
 
 #include "include/base/Ids.h"
 #include "include/base/Time.h"
-#include "include/membership/LeaseHolder.h"
-#include "include/membership/Roster.h"
+#include "modules/standalone/include/membership/LeaseHolder.h"
+#include "modules/standalone/include/membership/Roster.h"
 
 #include <cstdint>
 #include <map>
--- a/include/placement/HomeAdmission.h
+++ b/modules/standalone/include/placement/HomeAdmission.h
@@ -3,13 +3,13 @@
 // the actions that come back.
 #pragma once
 
-#include "include/admission/FairQueue.h"
 #include "include/base/Ids.h"
-#include "include/base/Outcome.h"
-#include "include/placement/ChatIndex.h"
-#include "include/placement/CountHistory.h"
-#include "include/placement/LoadBound.h"
-#include "include/placement/ZoneLoads.h"
+#include "modules/standalone/include/admission/FairQueue.h"
+#include "modules/standalone/include/base/Outcome.h"
+#include "modules/standalone/include/placement/ChatIndex.h"
+#include "modules/standalone/include/placement/CountHistory.h"
+#include "modules/standalone/include/placement/LoadBound.h"
+#include "modules/standalone/include/placement/ZoneLoads.h"
 
 #include <map>
 #include <optional>
--- a/include/router/AgentLink.h
+++ b/modules/standalone/include/router/AgentLink.h
@@ -2,9 +2,9 @@
 // the router's calls to the platform go through it. Without an agent the platform is out of reach.
 #pragma once
 
-#include "include/router/RouterContext.h"
-#include "include/store/ObjectClient.h"
 #include "include/wire/FrameLink.h"
+#include "modules/standalone/include/router/RouterContext.h"
+#include "modules/standalone/include/store/ObjectClient.h"
 
 #include <functional>
 #include <map>
--- a/include/router/CallContext.h
+++ b/modules/standalone/include/router/CallContext.h
@@ -1,8 +1,8 @@
 // What is known of one caller's request as it passes the filters.
 #pragma once
 
-#include "include/config/Snapshot.h"
 #include "include/net/HttpServer.h"
+#include "modules/standalone/include/config/Snapshot.h"
 
 #include <memory>
 #include <string>
--- a/include/router/ConfigController.h
+++ b/modules/standalone/include/router/ConfigController.h
@@ -2,8 +2,8 @@
 #pragma once
 
 #include "generated/frames_generated.h"
-#include "include/config/RevisionGate.h"
-#include "include/config/Snapshot.h"
+#include "modules/standalone/include/config/RevisionGate.h"
+#include "modules/standalone/include/config/Snapshot.h"
 
 #include <functional>
 #include <memory>
--- a/include/router/Filters.h
+++ b/modules/standalone/include/router/Filters.h
@@ -2,10 +2,10 @@
 // the chain is a list of variants, run in order until one answers.
 #pragma once
 
-#include "include/admission/TeamLimiter.h"
-#include "include/router/CallContext.h"
-#include "include/router/Problem.h"
-#include "include/router/RouterContext.h"
+#include "modules/standalone/include/admission/TeamLimiter.h"
+#include "modules/standalone/include/router/CallContext.h"
+#include "modules/standalone/include/router/Problem.h"
+#include "modules/standalone/include/router/RouterContext.h"
 
 #include <optional>
 #include <span>
--- a/include/router/HomeController.h
+++ b/modules/standalone/include/router/HomeController.h
@@ -2,10 +2,10 @@
 // and relays the tokens to whoever asked. The decisions are HomeAdmission's.
 #pragma once
 
-#include "include/placement/HomeAdmission.h"
-#include "include/router/RouterContext.h"
-#include "include/upstream/EngineClient.h"
-#include "include/upstream/ServiceClient.h"
+#include "modules/standalone/include/placement/HomeAdmission.h"
+#include "modules/standalone/include/router/RouterContext.h"
+#include "modules/standalone/include/upstream/EngineClient.h"
+#include "modules/standalone/include/upstream/ServiceClient.h"
 
 #include <functional>
 #include <map>
--- a/include/router/KeyController.h
+++ b/modules/standalone/include/router/KeyController.h
@@ -2,11 +2,11 @@
 // upstreams.
 #pragma once
 
-#include "include/idempotency/KeyOwner.h"
-#include "include/router/AgentLink.h"
-#include "include/router/KeyTrace.h"
-#include "include/router/PeerController.h"
-#include "include/router/RouterContext.h"
+#include "modules/standalone/include/idempotency/KeyOwner.h"
+#include "modules/standalone/include/router/AgentLink.h"
+#include "modules/standalone/include/router/KeyTrace.h"
+#include "modules/standalone/include/router/PeerController.h"
+#include "modules/standalone/include/router/RouterContext.h"
 
 #include <map>
 #include <memory>
--- a/include/router/KeyMessages.h
+++ b/modules/standalone/include/router/KeyMessages.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "generated/frames_generated.h"
-#include "include/idempotency/KeyOwner.h"
+#include "modules/standalone/include/idempotency/KeyOwner.h"
 
 #include <string>
 #include <vector>
--- a/include/router/KeyTrace.h
+++ b/modules/standalone/include/router/KeyTrace.h
@@ -1,7 +1,7 @@
 // The owners' events and actions as JSON lines: what the recorder writes and the replay reads.
 #pragma once
 
-#include "include/idempotency/KeyOwner.h"
+#include "modules/standalone/include/idempotency/KeyOwner.h"
 
 #include <nlohmann/json_fwd.hpp>
 
--- a/include/router/KeyedCall.h
+++ b/modules/standalone/include/router/KeyedCall.h
@@ -2,8 +2,8 @@
 // what it says. Only the owner says "not run"; whatever goes wrong on the way is "unknown".
 #pragma once
 
-#include "include/router/KeyController.h"
-#include "include/router/PlacedCall.h"
+#include "modules/standalone/include/router/KeyController.h"
+#include "modules/standalone/include/router/PlacedCall.h"
 
 namespace onyx {
 
--- a/include/router/PeerController.h
+++ b/modules/standalone/include/router/PeerController.h
@@ -2,11 +2,11 @@
 // runs to their homes and the answers back.
 #pragma once
 
-#include "include/membership/PeerTable.h"
-#include "include/router/HomeController.h"
-#include "include/router/RouterContext.h"
-#include "include/router/RunChannel.h"
 #include "include/wire/FrameLink.h"
+#include "modules/standalone/include/membership/PeerTable.h"
+#include "modules/standalone/include/router/HomeController.h"
+#include "modules/standalone/include/router/RouterContext.h"
+#include "modules/standalone/include/router/RunChannel.h"
 
 #include <functional>
 #include <map>
--- a/include/router/PlacedCall.h
+++ b/modules/standalone/include/router/PlacedCall.h
@@ -3,12 +3,12 @@
 // the caller sees each token once or an error.
 #pragma once
 
-#include "include/admission/RetryBudget.h"
-#include "include/placement/EntryPlacement.h"
-#include "include/router/CallContext.h"
-#include "include/router/PeerController.h"
-#include "include/router/Problem.h"
-#include "include/upstream/TokenSequence.h"
+#include "modules/standalone/include/admission/RetryBudget.h"
+#include "modules/standalone/include/placement/EntryPlacement.h"
+#include "modules/standalone/include/router/CallContext.h"
+#include "modules/standalone/include/router/PeerController.h"
+#include "modules/standalone/include/router/Problem.h"
+#include "modules/standalone/include/upstream/TokenSequence.h"
 
 #include <optional>
 #include <set>
--- a/include/router/Problem.h
+++ b/modules/standalone/include/router/Problem.h
@@ -2,8 +2,8 @@
 // Onyx-Outcome, and Retry-After wherever coming back makes sense. Sent at once, always.
 #pragma once
 
-#include "include/base/Outcome.h"
 #include "include/net/HttpServer.h"
+#include "modules/standalone/include/base/Outcome.h"
 
 #include <string>
 
--- a/include/router/Router.h
+++ b/modules/standalone/include/router/Router.h
@@ -1,11 +1,11 @@
 // One router process: listens, and connects the filters, the handlers and the controllers.
 #pragma once
 
-#include "include/admission/TeamLimiter.h"
 #include "include/net/HttpServer.h"
-#include "include/router/AgentLink.h"
-#include "include/router/KeyController.h"
-#include "include/router/PlacedCall.h"
+#include "modules/standalone/include/admission/TeamLimiter.h"
+#include "modules/standalone/include/router/AgentLink.h"
+#include "modules/standalone/include/router/KeyController.h"
+#include "modules/standalone/include/router/PlacedCall.h"
 
 #include <memory>
 
--- a/include/router/RouterContext.h
+++ b/modules/standalone/include/router/RouterContext.h
@@ -4,8 +4,8 @@
 
 #include "include/net/Net.h"
 #include "include/observe/Metrics.h"
-#include "include/router/ConfigController.h"
-#include "include/router/RouterSettings.h"
+#include "modules/standalone/include/router/ConfigController.h"
+#include "modules/standalone/include/router/RouterSettings.h"
 
 namespace onyx {
 
--- a/include/router/RouterSettings.h
+++ b/modules/standalone/include/router/RouterSettings.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "include/config/Settings.h"
-#include "include/placement/HomeAdmission.h"
+#include "modules/standalone/include/placement/HomeAdmission.h"
 
 #include <string>
 #include <vector>
--- a/include/router/RunChannel.h
+++ b/modules/standalone/include/router/RunChannel.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "generated/frames_generated.h"
-#include "include/base/Outcome.h"
 #include "include/net/Net.h"
+#include "modules/standalone/include/base/Outcome.h"
 
 #include <boost/asio/experimental/channel.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/src/admin/AdminService.cpp
+++ b/modules/standalone/src/admin/AdminService.cpp
@@ -1,7 +1,7 @@
-#include "include/admin/AdminService.h"
+#include "modules/standalone/include/admin/AdminService.h"
 
-#include "include/admin/BoxQuery.h"
-#include "include/admin/ConfigStore.h"
+#include "modules/standalone/include/admin/BoxQuery.h"
+#include "modules/standalone/include/admin/ConfigStore.h"
 
 #include <optional>
 
--- a/src/admin/BoxQuery.cpp
+++ b/modules/standalone/src/admin/BoxQuery.cpp
@@ -1,4 +1,4 @@
-#include "include/admin/BoxQuery.h"
+#include "modules/standalone/include/admin/BoxQuery.h"
 
 #include "include/wire/FrameLink.h"
 
--- a/src/admin/ConfigEditor.cpp
+++ b/modules/standalone/src/admin/ConfigEditor.cpp
@@ -1,6 +1,6 @@
-#include "include/admin/ConfigEditor.h"
+#include "modules/standalone/include/admin/ConfigEditor.h"
 
-#include "generated/onyx_admin.pb.h"
+#include "modules/standalone/generated/onyx_admin.pb.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/admin/ConfigStore.cpp
+++ b/modules/standalone/src/admin/ConfigStore.cpp
@@ -1,6 +1,6 @@
-#include "include/admin/ConfigStore.h"
+#include "modules/standalone/include/admin/ConfigStore.h"
 
-#include "include/agent/Agent.h"
+#include "modules/standalone/include/agent/Agent.h"
 
 #include <algorithm>
 
--- a/src/admin/Ctl.cpp
+++ b/modules/standalone/src/admin/Ctl.cpp
@@ -1,7 +1,7 @@
-#include "include/admin/Ctl.h"
+#include "modules/standalone/include/admin/Ctl.h"
 
-#include "generated/onyx_admin.grpc.pb.h"
 #include "include/net/Program.h"
+#include "modules/standalone/generated/onyx_admin.grpc.pb.h"
 
 #include <google/protobuf/util/json_util.h>
 #include <grpcpp/create_channel.h>
--- a/src/admission/FairQueue.cpp
+++ b/modules/standalone/src/admission/FairQueue.cpp
@@ -1,4 +1,4 @@
-#include "include/admission/FairQueue.h"
+#include "modules/standalone/include/admission/FairQueue.h"
 
 #include <algorithm>
 
--- a/src/agent/Agent.cpp
+++ b/modules/standalone/src/agent/Agent.cpp
@@ -1,4 +1,4 @@
-#include "include/agent/Agent.h"
+#include "modules/standalone/include/agent/Agent.h"
 
 #include "include/observe/Events.h"
 
--- a/src/agent/AgentSettings.cpp
+++ b/modules/standalone/src/agent/AgentSettings.cpp
@@ -1,4 +1,4 @@
-#include "include/agent/AgentSettings.h"
+#include "modules/standalone/include/agent/AgentSettings.h"
 
 namespace onyx {
 
--- a/src/config/Snapshot.cpp
+++ b/modules/standalone/src/config/Snapshot.cpp
@@ -1,4 +1,4 @@
-#include "include/config/Snapshot.h"
+#include "modules/standalone/include/config/Snapshot.h"
 
 #include "include/base/Hash.h"
 
--- a/src/idempotency/Key.cpp
+++ b/modules/standalone/src/idempotency/Key.cpp
@@ -1,4 +1,4 @@
-#include "include/idempotency/Key.h"
+#include "modules/standalone/include/idempotency/Key.h"
 
 #include <cctype>
 
--- a/src/idempotency/KeyLedger.cpp
+++ b/modules/standalone/src/idempotency/KeyLedger.cpp
@@ -1,4 +1,4 @@
-#include "include/idempotency/KeyLedger.h"
+#include "modules/standalone/include/idempotency/KeyLedger.h"
 
 #include <algorithm>
 
--- a/src/idempotency/KeyOwner.cpp
+++ b/modules/standalone/src/idempotency/KeyOwner.cpp
@@ -1,4 +1,4 @@
-#include "include/idempotency/KeyOwner.h"
+#include "modules/standalone/include/idempotency/KeyOwner.h"
 
 #include <algorithm>
 
--- a/src/membership/LeaseHolder.cpp
+++ b/modules/standalone/src/membership/LeaseHolder.cpp
@@ -1,6 +1,6 @@
-#include "include/membership/LeaseHolder.h"
+#include "modules/standalone/include/membership/LeaseHolder.h"
 
-#include "include/membership/Roster.h"
+#include "modules/standalone/include/membership/Roster.h"
 
 #include <algorithm>
 
--- a/src/membership/MemberView.cpp
+++ b/modules/standalone/src/membership/MemberView.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/MemberView.h"
+#include "modules/standalone/include/membership/MemberView.h"
 
 #include <algorithm>
 
--- a/src/membership/PeerTable.cpp
+++ b/modules/standalone/src/membership/PeerTable.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/PeerTable.h"
+#include "modules/standalone/include/membership/PeerTable.h"
 
 #include "include/base/Hash.h"
 
--- a/src/membership/PromiseBook.cpp
+++ b/modules/standalone/src/membership/PromiseBook.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/PromiseBook.h"
+#include "modules/standalone/include/membership/PromiseBook.h"
 
 #include <algorithm>
 
--- a/src/membership/Roster.cpp
+++ b/modules/standalone/src/membership/Roster.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/Roster.h"
+#include "modules/standalone/include/membership/Roster.h"
 
 #include "include/base/Hash.h"
 
--- a/src/membership/RosterKeeper.cpp
+++ b/modules/standalone/src/membership/RosterKeeper.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/RosterKeeper.h"
+#include "modules/standalone/include/membership/RosterKeeper.h"
 
 #include <algorithm>
 
--- a/src/membership/RosterProposal.cpp
+++ b/modules/standalone/src/membership/RosterProposal.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/RosterProposal.h"
+#include "modules/standalone/include/membership/RosterProposal.h"
 
 #include <algorithm>
 
--- a/src/placement/ChatIndex.cpp
+++ b/modules/standalone/src/placement/ChatIndex.cpp
@@ -1,4 +1,4 @@
-#include "include/placement/ChatIndex.h"
+#include "modules/standalone/include/placement/ChatIndex.h"
 
 #include "include/base/Hash.h"
 
--- a/src/placement/EntryPlacement.cpp
+++ b/modules/standalone/src/placement/EntryPlacement.cpp
@@ -1,4 +1,4 @@
-#include "include/placement/EntryPlacement.h"
+#include "modules/standalone/include/placement/EntryPlacement.h"
 
 namespace onyx {
 
--- a/src/placement/LoadBound.cpp
+++ b/modules/standalone/src/placement/LoadBound.cpp
@@ -1,4 +1,4 @@
-#include "include/placement/LoadBound.h"
+#include "modules/standalone/include/placement/LoadBound.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/placement/RendezvousOrder.cpp
+++ b/modules/standalone/src/placement/RendezvousOrder.cpp
@@ -1,4 +1,4 @@
-#include "include/placement/RendezvousOrder.h"
+#include "modules/standalone/include/placement/RendezvousOrder.h"
 
 #include "include/base/Hash.h"
 
--- a/src/placement/ZoneLoads.cpp
+++ b/modules/standalone/src/placement/ZoneLoads.cpp
@@ -1,4 +1,4 @@
-#include "include/placement/ZoneLoads.h"
+#include "modules/standalone/include/placement/ZoneLoads.h"
 
 #include <algorithm>
 
--- a/src/router/AgentLink.cpp
+++ b/modules/standalone/src/router/AgentLink.cpp
@@ -1,4 +1,4 @@
-#include "include/router/AgentLink.h"
+#include "modules/standalone/include/router/AgentLink.h"
 
 #include <utility>
 
--- a/src/router/ConfigController.cpp
+++ b/modules/standalone/src/router/ConfigController.cpp
@@ -1,4 +1,4 @@
-#include "include/router/ConfigController.h"
+#include "modules/standalone/include/router/ConfigController.h"
 
 #include "include/observe/Events.h"
 
--- a/src/router/Filters.cpp
+++ b/modules/standalone/src/router/Filters.cpp
@@ -1,6 +1,6 @@
-#include "include/router/Filters.h"
+#include "modules/standalone/include/router/Filters.h"
 
-#include "include/idempotency/Key.h"
+#include "modules/standalone/include/idempotency/Key.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/router/HomeController.cpp
+++ b/modules/standalone/src/router/HomeController.cpp
@@ -1,9 +1,9 @@
-#include "include/router/HomeController.h"
+#include "modules/standalone/include/router/HomeController.h"
 
 #include "include/base/Hash.h"
-#include "include/membership/PeerTable.h"
 #include "include/observe/Events.h"
-#include "include/router/RunChannel.h"
+#include "modules/standalone/include/membership/PeerTable.h"
+#include "modules/standalone/include/router/RunChannel.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/router/KeyController.cpp
+++ b/modules/standalone/src/router/KeyController.cpp
@@ -1,10 +1,10 @@
-#include "include/router/KeyController.h"
+#include "modules/standalone/include/router/KeyController.h"
 
 #include "include/base/Hash.h"
-#include "include/idempotency/Key.h"
 #include "include/observe/Events.h"
-#include "include/placement/RendezvousOrder.h"
-#include "include/router/KeyMessages.h"
+#include "modules/standalone/include/idempotency/Key.h"
+#include "modules/standalone/include/placement/RendezvousOrder.h"
+#include "modules/standalone/include/router/KeyMessages.h"
 
 namespace onyx {
 
--- a/src/router/KeyMessages.cpp
+++ b/modules/standalone/src/router/KeyMessages.cpp
@@ -1,4 +1,4 @@
-#include "include/router/KeyMessages.h"
+#include "modules/standalone/include/router/KeyMessages.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/router/KeyTrace.cpp
+++ b/modules/standalone/src/router/KeyTrace.cpp
@@ -1,4 +1,4 @@
-#include "include/router/KeyTrace.h"
+#include "modules/standalone/include/router/KeyTrace.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/router/KeyedCall.cpp
+++ b/modules/standalone/src/router/KeyedCall.cpp
@@ -1,4 +1,4 @@
-#include "include/router/KeyedCall.h"
+#include "modules/standalone/include/router/KeyedCall.h"
 
 #include "include/base/Hash.h"
 
--- a/src/router/PeerController.cpp
+++ b/modules/standalone/src/router/PeerController.cpp
@@ -1,4 +1,4 @@
-#include "include/router/PeerController.h"
+#include "modules/standalone/include/router/PeerController.h"
 
 #include "include/base/Hash.h"
 #include "include/membership/DigestTargets.h"
--- a/src/router/PlacedCall.cpp
+++ b/modules/standalone/src/router/PlacedCall.cpp
@@ -1,7 +1,7 @@
-#include "include/router/PlacedCall.h"
+#include "modules/standalone/include/router/PlacedCall.h"
 
 #include "include/observe/Events.h"
-#include "include/placement/RendezvousOrder.h"
+#include "modules/standalone/include/placement/RendezvousOrder.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/router/Problem.cpp
+++ b/modules/standalone/src/router/Problem.cpp
@@ -1,4 +1,4 @@
-#include "include/router/Problem.h"
+#include "modules/standalone/include/router/Problem.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/router/Router.cpp
+++ b/modules/standalone/src/router/Router.cpp
@@ -1,8 +1,8 @@
-#include "include/router/Router.h"
+#include "modules/standalone/include/router/Router.h"
 
 #include "include/observe/Events.h"
-#include "include/router/Filters.h"
-#include "include/router/KeyedCall.h"
+#include "modules/standalone/include/router/Filters.h"
+#include "modules/standalone/include/router/KeyedCall.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
--- a/src/router/RouterSettings.cpp
+++ b/modules/standalone/src/router/RouterSettings.cpp
@@ -1,4 +1,4 @@
-#include "include/router/RouterSettings.h"
+#include "modules/standalone/include/router/RouterSettings.h"
 
 namespace onyx {
 
--- a/src/router/RunChannel.cpp
+++ b/modules/standalone/src/router/RunChannel.cpp
@@ -1,4 +1,4 @@
-#include "include/router/RunChannel.h"
+#include "modules/standalone/include/router/RunChannel.h"
 
 #include <boost/asio/experimental/awaitable_operators.hpp>
 #include <boost/asio/redirect_error.hpp>
--- a/src/standin/FakeEngine.cpp
+++ b/modules/standalone/src/standin/FakeEngine.cpp
@@ -1,7 +1,7 @@
-#include "include/standin/FakeEngine.h"
+#include "modules/standalone/include/standin/FakeEngine.h"
 
 #include "include/observe/Events.h"
-#include "include/standin/AnswerText.h"
+#include "modules/standalone/include/standin/AnswerText.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/src/standin/FakePlatform.cpp
+++ b/modules/standalone/src/standin/FakePlatform.cpp
@@ -1,4 +1,4 @@
-#include "include/standin/FakePlatform.h"
+#include "modules/standalone/include/standin/FakePlatform.h"
 
 #include "include/observe/Events.h"
 
--- a/src/standin/FakeService.cpp
+++ b/modules/standalone/src/standin/FakeService.cpp
@@ -1,4 +1,4 @@
-#include "include/standin/FakeService.h"
+#include "modules/standalone/include/standin/FakeService.h"
 
 #include "include/observe/Events.h"
 
--- a/src/standin/LoadRun.cpp
+++ b/modules/standalone/src/standin/LoadRun.cpp
@@ -1,6 +1,6 @@
-#include "include/standin/LoadRun.h"
+#include "modules/standalone/include/standin/LoadRun.h"
 
-#include "include/standin/AnswerText.h"
+#include "modules/standalone/include/standin/AnswerText.h"
 
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
--- a/src/store/ObjectClient.cpp
+++ b/modules/standalone/src/store/ObjectClient.cpp
@@ -1,4 +1,4 @@
-#include "include/store/ObjectClient.h"
+#include "modules/standalone/include/store/ObjectClient.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/upstream/EngineClient.cpp
+++ b/modules/standalone/src/upstream/EngineClient.cpp
@@ -1,4 +1,4 @@
-#include "include/upstream/EngineClient.h"
+#include "modules/standalone/include/upstream/EngineClient.h"
 
 #include "include/observe/Events.h"
 
--- a/src/upstream/ServiceClient.cpp
+++ b/modules/standalone/src/upstream/ServiceClient.cpp
@@ -1,4 +1,4 @@
-#include "include/upstream/ServiceClient.h"
+#include "modules/standalone/include/upstream/ServiceClient.h"
 
 #include "include/observe/Events.h"
 
--- a/tests/EntryPlacementTest.cpp
+++ b/modules/standalone/tests/EntryPlacementTest.cpp
@@ -1,6 +1,6 @@
-#include "include/membership/PeerTable.h"
-#include "include/placement/EntryPlacement.h"
-#include "include/placement/RendezvousOrder.h"
+#include "modules/standalone/include/membership/PeerTable.h"
+#include "modules/standalone/include/placement/EntryPlacement.h"
+#include "modules/standalone/include/placement/RendezvousOrder.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/FairQueueTest.cpp
+++ b/modules/standalone/tests/FairQueueTest.cpp
@@ -1,6 +1,6 @@
-#include "include/admission/FairQueue.h"
-#include "include/admission/RetryBudget.h"
-#include "include/admission/TeamLimiter.h"
+#include "modules/standalone/include/admission/FairQueue.h"
+#include "modules/standalone/include/admission/RetryBudget.h"
+#include "modules/standalone/include/admission/TeamLimiter.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/HomeAdmissionTest.cpp
+++ b/modules/standalone/tests/HomeAdmissionTest.cpp
@@ -1,4 +1,4 @@
-#include "include/placement/HomeAdmission.h"
+#include "modules/standalone/include/placement/HomeAdmission.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/KeyOwnerExploreTest.cpp
+++ b/modules/standalone/tests/KeyOwnerExploreTest.cpp
@@ -1,6 +1,6 @@
 // Explores the owners' state machines under faults: all placements of up to two faults, and long
 // random walks with many. With one of the rules taken out, it must find what the rule is for.
-#include "tests/KeyWorld.h"
+#include "modules/standalone/tests/KeyWorld.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/KeyTraceReplayTest.cpp
+++ b/modules/standalone/tests/KeyTraceReplayTest.cpp
@@ -2,7 +2,7 @@
 // KEEP_TRACES). The same events must lead to the same actions, and to the outcome that stands
 // beside the trace in `outcome`: lines "MEASURE RELATION NUMBER", and the same behind
 // "without RULE" for a replay with one rule of the owners taken out.
-#include "include/router/KeyTrace.h"
+#include "modules/standalone/include/router/KeyTrace.h"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
--- a/tests/KeyWorld.cpp
+++ b/modules/standalone/tests/KeyWorld.cpp
@@ -1,4 +1,4 @@
-#include "tests/KeyWorld.h"
+#include "modules/standalone/tests/KeyWorld.h"
 
 #include "include/base/Hash.h"
 
--- a/tests/KeyWorld.h
+++ b/modules/standalone/tests/KeyWorld.h
@@ -2,7 +2,7 @@
 // Every box is asked for every key again and again; faults are put in from outside.
 #pragma once
 
-#include "include/idempotency/KeyOwner.h"
+#include "modules/standalone/include/idempotency/KeyOwner.h"
 
 #include <array>
 #include <deque>
--- a/tests/RosterTest.cpp
+++ b/modules/standalone/tests/RosterTest.cpp
@@ -1,5 +1,5 @@
-#include "include/idempotency/Key.h"
-#include "include/membership/Roster.h"
+#include "modules/standalone/include/idempotency/Key.h"
+#include "modules/standalone/include/membership/Roster.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/SettingsTest.cpp
+++ b/modules/standalone/tests/SettingsTest.cpp
@@ -1,6 +1,6 @@
 #include "include/config/Settings.h"
 
-#include "include/router/RouterSettings.h"
+#include "modules/standalone/include/router/RouterSettings.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/SnapshotTest.cpp
+++ b/modules/standalone/tests/SnapshotTest.cpp
@@ -1,6 +1,6 @@
-#include "include/config/RevisionGate.h"
-#include "include/config/Snapshot.h"
-#include "include/router/ConfigController.h"
+#include "modules/standalone/include/config/RevisionGate.h"
+#include "modules/standalone/include/config/Snapshot.h"
+#include "modules/standalone/include/router/ConfigController.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/TokenSequenceTest.cpp
+++ b/modules/standalone/tests/TokenSequenceTest.cpp
@@ -1,4 +1,4 @@
-#include "include/upstream/TokenSequence.h"
+#include "modules/standalone/include/upstream/TokenSequence.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/process/lib/check.sh
+++ b/modules/standalone/tests/process/lib/check.sh
@@ -1,6 +1,6 @@
 # Shared by the process tests. Source with the build folder in $1; ends the test with site_stop.
 # Times are short, so that a fault and its repair fit into a test; nothing asserts a duration.
-cd "$(dirname "${BASH_SOURCE[0]}")/../../.." || exit 1
+cd "$(dirname "${BASH_SOURCE[0]}")/../../../../.." || exit 1
 SITE_ROUTER_SETTINGS='
 [peers]
 timeout_ms = 600
@@ -10,7 +10,7 @@
 drift_margin_ms = 200
 skew_limit_ms = 100
 '
-source scripts/site
+source modules/standalone/scripts/site
 FAILED=0
 finish() {
     [ -n "${KEEP_TRACES:-}" ] && mkdir -p "$KEEP_TRACES" && cp "$SITE_DIR"/*.trace "$KEEP_TRACES"/ 2>/dev/null
--- a/tools/onyx-admin.cpp
+++ b/modules/standalone/tools/onyx-admin.cpp
@@ -1,8 +1,8 @@
 // onyx-admin: the operators' gRPC service.
-#include "include/admin/AdminService.h"
 #include "include/net/Launch.h"
 #include "include/net/Program.h"
 #include "include/observe/Events.h"
+#include "modules/standalone/include/admin/AdminService.h"
 
 #include <grpcpp/server_builder.h>
 
--- a/tools/onyx-agent.cpp
+++ b/modules/standalone/tools/onyx-agent.cpp
@@ -1,8 +1,8 @@
 // onyx-agent: the box's session with the platform.
-#include "include/agent/Agent.h"
 #include "include/net/Launch.h"
 #include "include/net/Program.h"
 #include "include/observe/Events.h"
+#include "modules/standalone/include/agent/Agent.h"
 
 using namespace onyx;
 
--- a/tools/onyx-load.cpp
+++ b/modules/standalone/tools/onyx-load.cpp
@@ -1,7 +1,7 @@
 // onyx-load: sends returning chats and keyed requests to entry boxes and checks every answer.
 #include "include/net/Program.h"
 #include "include/observe/Events.h"
-#include "include/standin/LoadRun.h"
+#include "modules/standalone/include/standin/LoadRun.h"
 
 #include <CLI/CLI.hpp>
 
--- a/tools/onyx-router.cpp
+++ b/modules/standalone/tools/onyx-router.cpp
@@ -2,7 +2,7 @@
 #include "include/net/Launch.h"
 #include "include/net/Program.h"
 #include "include/observe/Events.h"
-#include "include/router/Router.h"
+#include "modules/standalone/include/router/Router.h"
 
 using namespace onyx;
 
--- a/tools/onyxctl.cpp
+++ b/modules/standalone/tools/onyxctl.cpp
@@ -1,5 +1,5 @@
 // onyxctl: the operators' command line.
-#include "include/admin/Ctl.h"
+#include "modules/standalone/include/admin/Ctl.h"
 
 int main(int argc, char** argv) {
     return onyx::RunCtl(argc, argv);
