--- a/include/dialect/Dialect.h
+++ b/include/dialect/Dialect.h
@@ -50,6 +50,7 @@
     bool misdirected = false;  // It is not the upstream that was meant.
     bool authentic = false;    // It carries the upstream's mark.
     std::optional<int> load;   // Requests running and waiting there.
+    std::string unreadable;    // Names a header that cannot be read; empty: none.
     std::optional<Millis> keepAlive;
 };
 
@@ -87,17 +88,14 @@
     // Preconditions: wait >= 0.
     virtual std::string watchTarget(ObjectKind kind, uint64_t revision, Millis wait) const = 0;
 
-    // Bodies of list and watch answers. Errors: kProtocol naming the field. Preconditions: none.
-    virtual Result<ObjectPage> readPage(std::string_view body) const = 0;
-    virtual Result<ObjectChanges> readChanges(std::string_view body) const = 0;
+    // Bodies of list and watch answers. Errors: kProtocol naming the field; an object whose content
+    // cannot be read is an error in its place, kBadInput. Preconditions: none.
+    virtual Result<ObjectPage> readPage(ObjectKind kind, std::string_view body) const = 0;
+    virtual Result<ObjectChanges> readChanges(ObjectKind kind, std::string_view body) const = 0;
 
-    // Objects of the two kinds. Errors: kBadInput naming the field. Preconditions: none.
-    virtual Result<CatalogParts> readConfiguration(const nlohmann::json& content) const = 0;
-    virtual Result<Upstream> readUpstreamObject(const std::string& name,
-                                                const nlohmann::json& content) const = 0;
-
-    // Name of the one configuration object. Preconditions: none.
-    virtual std::string_view configurationName() const = 0;
+    // A configuration as another box passed it on. Errors: kBadInput naming the field.
+    // Preconditions: none.
+    virtual Result<StoredConfiguration> readConfiguration(std::string_view text) const = 0;
 };
 
 }  // namespace onyx
--- a/include/gateway/AnswerRelay.h
+++ b/include/gateway/AnswerRelay.h
@@ -4,6 +4,7 @@
 
 #include "include/gateway/CallerConnection.h"
 #include "include/gateway/UpstreamExchange.h"
+#include "include/lifecycle/Drain.h"
 #include "include/relay/EventStream.h"
 #include "include/relay/RequestAttempts.h"
 
@@ -30,9 +31,9 @@
 public:
     // `lastEvent`: the caller has the events up to this one. Preconditions: the arguments outlive
     // the relay.
-    AnswerRelay(const GatewayState& state, CallerConnection& caller,
+    AnswerRelay(const Lifecycle& lifecycle, CallerConnection& caller,
                 std::optional<uint64_t> lastEvent)
-        : m_state(state), m_caller(caller), m_lastEvent(lastEvent) {}
+        : m_lifecycle(lifecycle), m_caller(caller), m_lastEvent(lastEvent) {}
 
     // Reads the answer whose head `exchange` has, and passes on what may be. `stream`: the route's
     // answers are streams. `until`: a whole answer is waited for so long at least.
@@ -59,7 +60,7 @@
     Task<bool> pass(const ResponseHead& head, std::string_view bytes);
     Task<bool> sendHead(const ResponseHead& head);
 
-    const GatewayState& m_state;
+    const Lifecycle& m_lifecycle;
     CallerConnection& m_caller;
     std::optional<uint64_t> m_lastEvent;
     bool m_headSent = false;
--- /dev/null
+++ b/include/gateway/Attempt.h
@@ -0,0 +1,59 @@
+// One attempt of a request at one upstream: opens a connection, sends the request, relays the
+// answer, and takes in what it saw of the upstream. Whether another attempt follows is decided by
+// RequestAttempts, when this one is given up by AttemptBounds.
+//
+// Owns its exchange with the upstream. Relies on RequestContext for the rest.
+#pragma once
+
+#include "include/gateway/AnswerRelay.h"
+#include "include/gateway/CallerConnection.h"
+#include "include/gateway/RequestContext.h"
+#include "include/gateway/UpstreamExchange.h"
+
+#include <memory>
+#include <string>
+
+namespace onyx {
+
+// What an attempt needs of its request. Outlives the attempt.
+struct AttemptRequest {
+    const CallerMessage& message;
+    const CallerFacts& facts;
+    const Admission& admission;
+    const RequestAttempts& attempts;  // So far, without this one.
+    bool first = false;               // No attempt of the request was sent before.
+};
+
+// Not thread safe: one io_context, one task.
+class Attempt {
+public:
+    // Preconditions: all arguments but `place` outlive the attempt.
+    Attempt(RequestContext& context, CallerConnection& caller, AnswerRelay& relay,
+            const AttemptRequest& request, const AttemptPlace& place);
+
+    // Makes the attempt. Preconditions: called once.
+    Task<AttemptReport> run();
+
+    // Whether the request went out, whatever became of it. Preconditions: run() ended.
+    bool sent() const { return m_sent; }
+
+private:
+    Task<RelayEnd> exchange();
+    Task<bool> connect();
+    std::string orderText() const;
+    MonoTime firstByteDeadline() const;
+    MonoTime nextPieceDeadline() const;
+    void learnFromHead();
+    void noteHealth(AttemptEnd end);
+
+    RequestContext& m_context;
+    CallerConnection& m_caller;
+    AnswerRelay& m_relay;
+    const AttemptRequest& m_request;
+    AttemptPlace m_place;
+    std::shared_ptr<UpstreamExchange> m_exchange;
+    MonoTime m_start;
+    bool m_sent = false;
+};
+
+}  // namespace onyx
--- a/include/gateway/CallerConnection.h
+++ b/include/gateway/CallerConnection.h
@@ -23,7 +23,7 @@
 // How reading a request ended.
 enum class ReadEnd : uint8_t {
     kRequest,   // One whole request.
-    kClosed,    // The caller closed, or rested for too long, between requests.
+    kClosed,    // The caller closed, or was idle for too long, between requests.
     kBad,       // What came is no request; see `problem`.
     kTooLarge,  // A bound was passed.
     kSlow,      // The request did not come in time.
@@ -62,7 +62,7 @@
     Task<> linger();
 
     // Ends a pending wait for the next request's first byte. Preconditions: none.
-    void endRest();
+    void stopWaiting();
 
     // Whether the caller has closed or reset the connection. Preconditions: none.
     bool gone() const { return m_gone; }
@@ -81,7 +81,7 @@
     asio::steady_timer m_readDone;  // Cancelled when a pending read ends.
     bool m_reading = false;
     bool m_gone = false;
-    bool m_restEnded = false;
+    bool m_waitStopped = false;
     std::function<void()> m_onGone;
 };
 
--- /dev/null
+++ b/include/gateway/CallerServer.h
@@ -0,0 +1,42 @@
+// Takes callers' connections and serves the requests on them, one after the other.
+//
+// Owns the listening socket and the connections that wait for a request; when a planned stop begins
+// to refuse requests, it closes both. Relies on CallerConnection for reading and on RequestHandler
+// for answering.
+#pragma once
+
+#include "include/gateway/CallerConnection.h"
+#include "include/gateway/RequestContext.h"
+
+#include <memory>
+#include <set>
+
+namespace onyx {
+
+// Not thread safe: one io_context.
+class CallerServer {
+public:
+    // Preconditions: the context outlives the server.
+    explicit CallerServer(RequestContext& context) : m_context(context), m_acceptor(context.io) {}
+
+    // Listens and begins to serve. Errors: kUnavailable if the address cannot be bound.
+    // Preconditions: called once.
+    Result<bool> start();
+
+    // Takes no more connections and closes those that wait for a request.
+    // Preconditions: start() succeeded.
+    void close();
+
+    // Where it listens. Preconditions: start() succeeded.
+    Endpoint endpoint() const { return m_acceptor.local_endpoint(); }
+
+private:
+    Task<> serve(std::shared_ptr<CallerConnection> caller);
+    Task<> answerBad(CallerConnection& caller, const ReadRequest& request);
+
+    RequestContext& m_context;
+    Tcp::acceptor m_acceptor;
+    std::set<std::shared_ptr<CallerConnection>> m_idle;  // Wait for a request.
+};
+
+}  // namespace onyx
--- a/include/gateway/ConnectionReport.h
+++ b/include/gateway/ConnectionReport.h
@@ -37,7 +37,7 @@
 // up may still be on their way.
 struct ConnectionReport {
     bool kept = false;  // It was taken from the pool, not opened for this attempt.
-    Millis rested = 0;  // There, since its last answer.
+    Millis idle = 0;    // There, since its last answer.
     std::optional<size_t> unacknowledged;  // Bytes, when this box ended it; else nothing.
     ConnectionEnd end = ConnectionEnd::kNone;
 };
--- a/include/gateway/Gateway.h
+++ b/include/gateway/Gateway.h
@@ -1,21 +1,28 @@
 // The deployed process of a box: takes callers' requests and relays them to upstreams, by what the
-// object store says.
+// object store says. It only makes the parts and connects them; who owns which state:
+//
+//   ConfigurationState  the configuration in force and its age
+//   UpstreamState       upstreams: list, health, loads, caches, kept connections
+//   Lifecycle           how far this box's life has come, requests under way
+//   RetryAllowances     this box's part of the retry budget
+//   StoreController     the watches of the store and whether it answers
+//   PeerMesh            the links to other boxes
+//   PeerSync            whom this box follows and what it asks other boxes
+//   CallerServer        callers' connections
+//   StatusServer        what the balancer and the operators are told
 #pragma once
 
-#include "include/gateway/GatewayState.h"
-#include "include/gateway/KnowledgeExchange.h"
-#include "include/gateway/PeerMesh.h"
-#include "include/net/HttpServer.h"
-#include "include/store/StoreWatch.h"
+#include "include/gateway/CallerServer.h"
+#include "include/gateway/PeerSync.h"
+#include "include/gateway/RequestContext.h"
+#include "include/gateway/StatusServer.h"
+#include "include/gateway/StoreController.h"
 
 #include <functional>
 #include <memory>
-#include <set>
 
 namespace onyx {
 
-class CallerConnection;
-
 // Not thread safe: one io_context.
 class Gateway {
 public:
@@ -31,58 +38,44 @@
     void drain(std::function<void()> done);
 
     // Where it listens; the kernel's choice where the settings ask for port 0. Preconditions: none.
-    Endpoint callers() const { return m_acceptor.local_endpoint(); }
-    Endpoint readiness() const { return m_readiness->endpoint(); }
-    Endpoint metrics() const { return m_metrics->endpoint(); }
-    Endpoint peers() const { return m_peers.endpoint(); }
+    Endpoint callers() const { return m_callers.endpoint(); }
+    Endpoint readiness() const { return m_status.readiness(); }
+    Endpoint metrics() const { return m_status.metrics(); }
+    Endpoint peers() const { return m_mesh.endpoint(); }
 
     // Boxes heard of lately, this one included. Preconditions: none.
-    size_t boxesKnown() const { return m_state.boxesKnown; }
+    size_t boxesKnown() const { return m_mesh.boxesKnown(); }
     // Links to other boxes that stand. Preconditions: none.
-    size_t links() const { return m_peers.links(); }
+    size_t links() const { return m_mesh.links(); }
 
     // Whether it follows another box in place of watching the store. Preconditions: none.
-    bool following() const { return m_knowledge.following(); }
+    bool following() const { return m_sync.following(); }
 
     // Whether the balancer may send callers here. Preconditions: none.
-    bool ready() const;
+    bool ready() const { return !m_lifecycle.draining() && knowsEnough(); }
 
 private:
     Gateway(asio::io_context& io, const GatewaySettings& settings, const Dialect& dialect);
-    Result<bool> listen();
-    void followStore();
-    void onConfiguration(const StoreNews& news);
-    void onUpstreams(const StoreNews& news);
-    void takeConfiguration(const nlohmann::json& content);
-    void onPeerNews(const PeerNews& news);
-    UpstreamChanges readUpstreams(const StoreNews& news);
-    void applyUpstreams(const UpstreamChanges& changes, std::string_view source);
-    void takeUpstream(const Upstream& upstream, uint64_t revision, std::string_view source);
-    void forgetUpstream(const std::string& id, uint64_t revision, std::string_view source);
+    Result<bool> start();
     bool knowsEnough() const;
     StorePacingFacts pacingFacts() const;
-    Millis watchWait(ObjectKind kind) const;
-    StoreWatch& watchOf(ObjectKind kind);
-    void onFollowing(bool following);
-    void onReachable(ObjectKind kind, const std::string& why);
-    void logUpstream(const Upstream& upstream, std::string_view source) const;
-    Task<> serveCaller(std::shared_ptr<CallerConnection> caller);
-    Task<> answerBad(CallerConnection& caller, const struct ReadRequest& request);
-    Task<> answerReadiness(HttpExchange& exchange);
-    Task<> answerMetrics(HttpExchange& exchange);
     Task<> runDrain(std::function<void()> done);
     Task<> trimConnections();
 
-    GatewayState m_state;
-    Tcp::acceptor m_acceptor;
-    std::unique_ptr<HttpServer> m_readiness;
-    std::unique_ptr<HttpServer> m_metrics;
-    PeerMesh m_peers;
-    KnowledgeExchange m_knowledge;
-    std::unique_ptr<StoreWatch> m_configurationWatch;
-    std::unique_ptr<StoreWatch> m_upstreamWatch;
-    std::set<std::shared_ptr<CallerConnection>> m_resting;  // Wait for a request.
-    bool m_toldReady = false;
+    asio::io_context& m_io;
+    const GatewaySettings& m_settings;
+    Metrics m_metrics;
+    ConfigurationState m_configuration;
+    UpstreamState m_upstreams;
+    Lifecycle m_lifecycle;
+    RetryAllowances m_retries;
+    RequestLog m_log;
+    StoreController m_store;
+    PeerMesh m_mesh;
+    PeerSync m_sync;
+    RequestContext m_context;
+    CallerServer m_callers;
+    StatusServer m_status;
 };
 
 }  // namespace onyx
--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -1,10 +1,15 @@
 // The links between the gateways of a site: finds the other boxes, holds links to all of a few and
-// to a sample of many, and tells over them what this box has in flight. What boxes ask each other
-// of the store is the KnowledgeExchange's matter. A box without links goes on serving.
+// to a sample of many, and announces over them what this box has in flight and has learned of
+// caches. A box without links goes on serving.
+//
+// Owns the links and the directory of boxes. Relies on BoxDirectory and DigestTargets for whom to
+// dial and how often to announce. What boxes ask each other of the store is PeerSync's matter.
 #pragma once
 
-#include "include/gateway/GatewayState.h"
+#include "include/gateway/GatewaySettings.h"
+#include "include/gateway/UpstreamState.h"
 #include "include/membership/BoxDirectory.h"
+#include "include/observe/Metrics.h"
 #include "include/wire/FrameLink.h"
 
 #include <functional>
@@ -25,8 +30,9 @@
         std::function<void(const std::string& from, const wire::KnowledgeReplyT&)> onReply;
     };
 
-    // Preconditions: the state outlives the mesh.
-    PeerMesh(GatewayState& state, Sink sink);
+    // Preconditions: context, settings, upstreams and metrics outlive the mesh.
+    PeerMesh(asio::io_context& io, const GatewaySettings& settings, UpstreamState& upstreams,
+             Metrics& metrics, Sink sink);
 
     // Listens and begins to dial. Errors: kUnavailable if the address cannot be bound.
     // Preconditions: called once.
@@ -38,6 +44,9 @@
     // This box as others dial it. Preconditions: start() succeeded.
     const std::string& address() const { return m_address; }
 
+    // Boxes of the site heard of lately, this one included. Preconditions: none.
+    size_t boxesKnown() const { return m_boxesKnown; }
+
     // Links that stand. Preconditions: none.
     size_t links() const { return m_links.size(); }
 
@@ -65,14 +74,14 @@
     struct Peer {
         std::shared_ptr<FrameLink> link;
         MonoTime heard;
-        Millis promised = 0;  // The period of its digests, as it told.
+        Millis digestPeriod = 0;  // As it announced it last; 0: not yet.
     };
 
     Task<> greetAccepted(Tcp::socket socket);
     Task<> dialPeers();
     void dialMissing();
     Task<> dial(std::string address);
-    Task<> tellLoads();
+    Task<> announceLoads();
     wire::HelloT hello() const;
     void adopt(const std::shared_ptr<FrameLink>& link);
     void onFrame(FrameLink& link, wire::BodyUnion& body);
@@ -81,14 +90,17 @@
     void learn(const wire::BoxListT& list);
     void sendDigest(const PeerCounts::Counts& counts);
     static wire::BoxListT ListOf(const std::vector<KnownBox>& boxes);
-    void tellNewBoxes();
+    void announceBoxes();
     void sendTo(const std::string& address, std::string frame);
     // Whom a frame to several boxes is for.
     enum class Audience : uint8_t { kAll, kNeighbours };
     void sendToMany(Audience audience, const std::string& frame);
     void dropSilent();
 
-    GatewayState& m_state;
+    asio::io_context& m_io;
+    const GatewaySettings& m_settings;
+    UpstreamState& m_upstreams;
+    Metrics& m_metrics;
     Sink m_sink;
     Tcp::acceptor m_acceptor;
     std::string m_self;                   // This life's name.
@@ -98,7 +110,8 @@
     std::string m_wanted;                 // A box to be linked to besides; empty: none.
     std::set<std::string> m_dialing;
     MonoTime m_lastDigest;
-    PeerCounts::Counts m_told;
+    PeerCounts::Counts m_announced;  // In the last digest.
+    size_t m_boxesKnown = 1;
     Millis m_digestPeriod = 100;
     uint64_t m_sequence = 0;
 };
--- /dev/null
+++ b/include/gateway/RequestContext.h
@@ -0,0 +1,42 @@
+// What the handling of requests may use. What it may only read is const; everything has its owner
+// elsewhere (see Gateway).
+#pragma once
+
+#include "include/admission/Admission.h"
+#include "include/admission/RetryAllowance.h"
+#include "include/dialect/Dialect.h"
+#include "include/gateway/ConfigurationState.h"
+#include "include/gateway/GatewaySettings.h"
+#include "include/gateway/PeerMesh.h"
+#include "include/gateway/RequestLog.h"
+#include "include/gateway/UpstreamState.h"
+#include "include/lifecycle/Drain.h"
+
+#include <random>
+
+namespace onyx {
+
+// Not thread safe: one io_context.
+struct RequestContext {
+    asio::io_context& io;
+    const GatewaySettings& settings;
+    const Dialect& dialect;
+    const ConfigurationState& configuration;
+    UpstreamState& upstreams;
+    RetryAllowances& retries;
+    Lifecycle& lifecycle;
+    const PeerMesh& mesh;
+    RequestLog& log;
+    std::minstd_rand random{std::random_device{}()};
+};
+
+// What admission depends on, as this box knows it. Preconditions: none.
+// Thread safety: the context's.
+inline AdmissionKnowledge KnowledgeOf(const ConfigurationState& configuration,
+                                      const UpstreamState& upstreams, const Lifecycle& lifecycle,
+                                      MonoTime now) {
+    return {lifecycle.refusing(), configuration.catalog(), configuration.age(now),
+            upstreams.listed()};
+}
+
+}  // namespace onyx
--- /dev/null
+++ b/include/gateway/RequestHandler.h
@@ -0,0 +1,62 @@
+// One request of a caller, from its head to the last byte of its answer, as a chain of steps: read
+// the head, admit, place an attempt, make it, see what follows, until there is an answer. Each step
+// asks a rule (docs/DECISIONS.md) and carries out what it says.
+//
+// Owns the request and what became of its attempts. Relies on RequestContext for the rest.
+#pragma once
+
+#include "include/gateway/AnswerRelay.h"
+#include "include/gateway/Attempt.h"
+#include "include/gateway/CallerConnection.h"
+#include "include/gateway/RequestContext.h"
+#include "include/relay/RequestAttempts.h"
+
+#include <optional>
+#include <set>
+#include <string>
+
+namespace onyx {
+
+// What is to become of the caller's connection after a request.
+enum class AfterAnswer : uint8_t { kKeep, kClose, kAborted };
+
+// Not thread safe: one io_context, one task.
+class RequestHandler {
+public:
+    // Preconditions: context and caller outlive the request.
+    RequestHandler(RequestContext& context, CallerConnection& caller, ReadRequest request);
+
+    // Answers the request. Preconditions: called once.
+    Task<AfterAnswer> run();
+
+private:
+    std::optional<Refusal> readHead();
+    std::optional<Refusal> admit();
+    Task<AfterAnswer> serve();
+    std::optional<AttemptPlace> place();
+    Task<Verdict> attempt(const AttemptPlace& place);
+    Verdict judge(AttemptEnd end);
+    // Carries out what is the last step of a request.
+    Task<AfterAnswer> conclude(const Verdict& verdict);
+    Task<AfterAnswer> deliver();
+    Task<AfterAnswer> refuse(const Refusal& refusal);
+    AfterAnswer abandon(std::string_view outcome);
+    AfterAnswer afterAnswer() const;
+    RequestReport report() const;
+
+    RequestContext& m_context;
+    CallerConnection& m_caller;
+    CallerMessage m_message;
+    MonoTime m_arrived;
+    uint64_t m_draw;  // A random number of this request's own.
+    CallerFacts m_facts;
+    Admission m_admission;
+    RequestAttempts m_attempts{AttemptRules{}};
+    std::optional<AnswerRelay> m_relay;  // Once the head is read.
+    bool m_sent = false;                 // Any attempt went out.
+    bool m_timedOut = false;             // The last attempt ended for lack of time.
+    std::set<std::string> m_tried;       // Upstreams of the attempts so far.
+    std::string m_upstream;              // Of the last attempt.
+};
+
+}  // namespace onyx
--- /dev/null
+++ b/include/gateway/RequestLog.h
@@ -0,0 +1,94 @@
+// The log lines and metrics of requests, in one place: what each decision was made on, why, and
+// what came of it. docs/EVENTS.md says what each line means.
+//
+// Owns whether requests are being decided on a stale configuration, which is logged when it
+// changes.
+#pragma once
+
+#include "include/admission/Admission.h"
+#include "include/dialect/Dialect.h"
+#include "include/gateway/ConnectionReport.h"
+#include "include/gateway/PlaceAttempt.h"
+#include "include/observe/Metrics.h"
+#include "include/relay/RequestAttempts.h"
+
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace onyx {
+
+// How an attempt went, as its log line has it.
+struct AttemptReport {
+    std::string upstream;
+    AttemptEnd end = AttemptEnd::kUnclear;
+    bool timedOut = false;     // It ended for lack of time.
+    bool unreachable = false;  // The upstream's machine gave no sign of life.
+    Millis took = 0;
+    ConnectionReport connection;
+};
+
+// What the log says of a request at its end.
+struct RequestReport {
+    std::string id;
+    std::string upstream;  // Of the last attempt.
+    int attempts = 0;
+    bool mayHaveRun = false;
+    unsigned status = 0;  // Of the answer, 0 if there was none.
+    Millis took = 0;
+};
+
+// The configuration that a decision was made on; nothing where there was none.
+struct ConfigurationReport {
+    std::optional<uint64_t> version;
+    std::optional<Millis> age;
+};
+
+// Not thread safe: one io_context.
+class RequestLog {
+public:
+    // Preconditions: the metrics outlive the log.
+    explicit RequestLog(Metrics& metrics) : m_metrics(metrics) {}
+
+    // A request was admitted. Preconditions: none.
+    void admitted(const Admission& admission, std::optional<Millis> configurationAge);
+
+    // An attempt begins, `after` milliseconds after the request came. `attempt`: its number,
+    // from 1. Preconditions: none.
+    void attemptStarted(const CallerFacts& facts, int attempt, const AttemptPlace& place,
+                        Millis after);
+
+    // The request goes out to an upstream. Preconditions: none.
+    void sent(const ServiceId& service);
+
+    // A connection to an upstream is opened. Preconditions: none.
+    void connecting() { m_metrics.count("onyx_upstream_connections_total"); }
+
+    // An attempt ended, and what follows. Preconditions: none.
+    void attemptEnded(const std::string& request, const AttemptReport& report,
+                      const Verdict& verdict);
+
+    // A header of an upstream's answer cannot be read; the answer goes on without it.
+    // Preconditions: none.
+    void headUnreadable(const std::string& request, const std::string& upstream,
+                        const std::string& problem);
+
+    // An attempt led to the ejection of its upstream. Preconditions: none.
+    void ejected(const std::string& upstream, AttemptEnd after);
+
+    // This box answered by itself. Preconditions: none.
+    void refused(const RequestReport& request, const Refusal& refusal,
+                 const ConfigurationReport& configuration);
+
+    // The request was answered, or its caller left. Preconditions: none.
+    void done(const RequestReport& request, const Admission& admission, std::string_view outcome);
+
+    // What a caller sent is no request. Preconditions: none.
+    void badRequest(unsigned status, const std::string& problem);
+
+private:
+    Metrics& m_metrics;
+    bool m_servesStale = false;  // The last request was decided on a stale configuration.
+};
+
+}  // namespace onyx
--- a/include/gateway/UpstreamExchange.h
+++ b/include/gateway/UpstreamExchange.h
@@ -1,8 +1,12 @@
-// One send of a request to one upstream, and its answer.
+// One attempt's exchange with its upstream: a connection, the request, the answer. Says how each
+// step ended; what that means is decided by others.
+//
+// Owns the connection while it is in use. Relies on UpstreamPool for kept ones and on the dialect
+// for the head of the answer.
 #pragma once
 
 #include "include/gateway/ConnectionReport.h"
-#include "include/gateway/GatewayState.h"
+#include "include/gateway/RequestContext.h"
 #include "include/relay/AttemptBounds.h"
 
 #include <boost/asio/steady_timer.hpp>
@@ -28,12 +32,12 @@
 // shared_ptr, since a write may outlive the task that waits for the answer.
 class UpstreamExchange : public std::enable_shared_from_this<UpstreamExchange> {
 public:
-    // Preconditions: the state outlives the exchange.
-    UpstreamExchange(GatewayState& state, Upstream upstream, std::string requestId);
+    // Preconditions: the context outlives the exchange.
+    UpstreamExchange(RequestContext& context, Upstream upstream, std::string requestId);
 
-    // Takes a kept connection that rested for at most `mostRest`, or opens one.
+    // Takes a kept connection that was idle for at most `maxIdle`, or opens one.
     // Errors: kUnavailable, kTimeout; nothing was sent then. Preconditions: called once.
-    Task<Result<bool>> connect(Millis mostRest, const ConnectionBounds& bounds);
+    Task<Result<bool>> connect(Millis maxIdle, const ConnectionBounds& bounds);
 
     // Sends `message` and reads the head of the answer that carries this request's id. Other
     // answers, which nobody waits for any more, are passed over.
@@ -56,7 +60,7 @@
     const UpstreamFacts& facts() const { return m_facts; }
     const Upstream& upstream() const { return m_upstream; }
     // Whether the upstream's machine stopped taking bytes or answering keep-alive probes: the
-    // way there is cut, whatever became of the request. Preconditions: none.
+    // network is cut, whatever became of the request. Preconditions: none.
     bool unreachable() const { return m_unreachable; }
     // What the connection was and how it ended. Preconditions: finish() was called.
     const ConnectionReport& connection() const { return m_report; }
@@ -68,19 +72,19 @@
 
     // Sets the socket's options. Errors: kUnavailable.
     Result<bool> prepareSocket();
-    bool takeKept(Millis mostRest);
+    bool takeKept(Millis maxIdle);
     void write(std::string message);
     void awaitDelivery();
     void startKeepAlive();
     bool isClean() const;
-    bool rest();
+    bool keep();
     Task<AnswerRead> readHead(MonoTime until);
     Task<AnswerRead> skipBody(MonoTime until);
     AnswerRead endOf(const boost::system::error_code& ec);
     bool isOurs() const;
     void noteEnd(ConnectionEnd end);
 
-    GatewayState& m_state;
+    RequestContext& m_context;
     Upstream m_upstream;
     std::string m_requestId;
     ConnectionBounds m_bounds;
--- a/include/gateway/UpstreamPool.h
+++ b/include/gateway/UpstreamPool.h
@@ -20,19 +20,20 @@
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
     MonoTime lastUsed;
-    Millis keepAlive = 0;  // The upstream closes it after resting so long; 0: it does not say.
+    Millis keepAlive = 0;  // The upstream closes it after idle so long; 0: it does not say.
 };
 
 // Not thread safe: one io_context.
 class UpstreamPool {
 public:
-    static constexpr size_t kMostResting = 8;  // Of one upstream.
+    // A choice: enough for a busy upstream, a fraction of the connections that one takes.
+    static constexpr size_t kMaxIdlePerUpstream = 8;
 
     explicit UpstreamPool(asio::any_io_executor executor) : m_executor(std::move(executor)) {}
 
-    // A kept connection that rested for at most `mostRest` and has nothing to read, or nullptr.
+    // A kept connection that was idle for at most `maxIdle` and has nothing to read, or nullptr.
     // Preconditions: none.
-    std::shared_ptr<UpstreamConnection> take(const std::string& upstream, Millis mostRest,
+    std::shared_ptr<UpstreamConnection> take(const std::string& upstream, Millis maxIdle,
                                              MonoTime now);
 
     // A new connection, not yet open. Preconditions: none.
@@ -46,14 +47,14 @@
               MonoTime now);
 
     // Closes what is kept to an upstream that leaves or is gone. Preconditions: none.
-    void drop(const std::string& upstream) { m_resting.erase(upstream); }
+    void drop(const std::string& upstream) { m_idle.erase(upstream); }
 
-    // Closes connections that rested longer than `mostRest`. Preconditions: none.
-    void trim(Millis mostRest, MonoTime now);
+    // Closes connections that idle for longer than `maxIdle`. Preconditions: none.
+    void trim(Millis maxIdle, MonoTime now);
 
 private:
     asio::any_io_executor m_executor;
-    std::map<std::string, std::deque<std::shared_ptr<UpstreamConnection>>> m_resting;
+    std::map<std::string, std::deque<std::shared_ptr<UpstreamConnection>>> m_idle;
 };
 
 }  // namespace onyx
--- /dev/null
+++ b/include/gateway/UpstreamState.h
@@ -0,0 +1,113 @@
+// Owns all that this box knows of upstreams: the list and its age, their health, loads and caches,
+// and the connections kept to them. What a change of the list means for the others is decided here
+// alone.
+//
+// Relies on the rules of health, placement and routing. The store's watch and other boxes bring the
+// list; attempts bring what they saw; peers bring loads and holdings.
+#pragma once
+
+#include "include/freshness/KnowledgeAge.h"
+#include "include/gateway/UpstreamPool.h"
+#include "include/health/UpstreamHealth.h"
+#include "include/placement/CacheDirectory.h"
+#include "include/placement/PeerCounts.h"
+#include "include/placement/UpstreamLoads.h"
+#include "include/routing/UpstreamTable.h"
+
+#include <optional>
+#include <span>
+#include <string>
+#include <string_view>
+
+namespace onyx {
+
+// Not thread safe: one io_context.
+class UpstreamState {
+public:
+    UpstreamState(asio::any_io_executor executor, const HealthSettings& health)
+        : m_health(health), m_pool(std::move(executor)) {}
+
+    // Takes in a list or changes of it. `source`: who has them, for the log ("store" or "peer").
+    // Preconditions: times do not fall.
+    void apply(const UpstreamChanges& changes, std::string_view source, MonoTime now);
+
+    // The list holds all changes of before `asOf`. Preconditions: as KnowledgeAge::confirm().
+    void confirm(MonoTime asOf) { m_age.confirm(asOf); }
+
+    // Whether there was a list yet. Preconditions: none.
+    bool listed() const { return m_listed; }
+    // The list. Preconditions: none.
+    const UpstreamTable& table() const { return m_table; }
+    // Its age in milliseconds, or nothing before the first confirmation. Preconditions: none.
+    std::optional<Millis> age(MonoTime now) const { return m_age.age(now); }
+
+    // Whether an upstream is ejected. Preconditions: times do not fall.
+    bool isEjected(const std::string& id, MonoTime now) const {
+        return m_health.isEjected(id, now);
+    }
+
+    // All boxes' requests at an upstream, as far as this box can tell. Preconditions: as above.
+    int load(const std::string& id, MonoTime now) const;
+
+    // Whether the other boxes' loads are known of some of them only. Preconditions: none.
+    bool loadsAreSampled() const { return m_peerCounts.isSample(); }
+
+    // Who holds which parts of prompts. Preconditions: none.
+    const CacheDirectory& caches() const { return m_caches; }
+
+    // Count an attempt in and out. Preconditions: each that began ends once.
+    void attemptBegan(const std::string& id) { m_loads.enter(id); }
+    void attemptEnded(const std::string& id) { m_loads.leave(id); }
+
+    // Takes in what an attempt that began at `sent` saw of its upstream; true if that is ejected
+    // from now on. Preconditions: sent <= now, which does not fall.
+    bool noteSign(const std::string& id, UpstreamSign sign, MonoTime sent, MonoTime now);
+
+    // An upstream began to answer a prompt with these shared parts, so it has read them.
+    // Preconditions: times do not fall.
+    void notePrompt(std::span<const std::string> sharedParts, const std::string& id, MonoTime now) {
+        m_caches.recordAnswer(sharedParts, id, now);
+    }
+    // An upstream's answer reports how many requests it has. Preconditions: as above.
+    void noteReportedLoad(const std::string& id, int load, MonoTime now) {
+        m_loads.noteReportedLoad(id, load, now);
+    }
+
+    // Connections kept between attempts. Preconditions: none.
+    UpstreamPool& pool() { return m_pool; }
+
+    // What this box has in flight, and what it has learned of caches since the last call, to be
+    // announced to other boxes. Preconditions: none.
+    PeerCounts::Counts ownLoads() const { return m_loads.counts(); }
+    bool hasAnnouncements() const { return m_caches.hasAnnouncements(); }
+    std::vector<CacheHolding> takeAnnouncements() { return m_caches.takeAnnouncements(); }
+
+    // What another box announces; its loads count for `believed` milliseconds.
+    // Preconditions: believed > 0; times do not fall.
+    void notePeerLoads(const std::string& box, PeerCounts::Counts counts, MonoTime now,
+                       Millis believed) {
+        m_peerCounts.take(box, std::move(counts), now, believed);
+    }
+    void noteHolding(const CacheHolding& holding, MonoTime now) { m_caches.learn(holding, now); }
+    // Forgets the loads of a box whose link is gone, and those that are no longer believed.
+    // Preconditions: none.
+    void forgetPeer(const std::string& box) { m_peerCounts.forget(box); }
+    void expirePeerLoads(MonoTime now) { m_peerCounts.expire(now); }
+    // The part of the other boxes that announce their loads here. Preconditions: as PeerCounts.
+    void setPeerShare(double share) { m_peerCounts.setShare(share); }
+
+private:
+    void put(const Upstream& upstream, uint64_t revision, std::string_view source, MonoTime now);
+    void remove(const std::string& id, uint64_t revision, std::string_view source);
+
+    UpstreamTable m_table;
+    bool m_listed = false;
+    KnowledgeAge m_age;
+    UpstreamHealth m_health;
+    UpstreamLoads m_loads;
+    PeerCounts m_peerCounts;
+    CacheDirectory m_caches;
+    UpstreamPool m_pool;
+};
+
+}  // namespace onyx
--- a/include/membership/BoxDirectory.h
+++ b/include/membership/BoxDirectory.h
@@ -1,5 +1,5 @@
-// The boxes of a site that this box has heard of: which of them it dials, and what it tells on.
-// Newcomers are told on once, so that the control bytes of a large site grow with its changes and
+// The boxes of a site that this box has heard of: which of them it dials, and what it passes on.
+// Newcomers are passed on once, so that the control bytes of a large site grow with its changes and
 // not with its links.
 #pragma once
 
@@ -18,18 +18,18 @@
 // A box as others dial it.
 struct KnownBox {
     std::string address;  // "ip:port" of its frames.
-    std::string zone;     // Empty while nobody told it.
+    std::string zone;     // Empty while it is not known.
     friend bool operator==(const KnownBox&, const KnownBox&) = default;
 };
 
 // Not thread safe: one task owns it.
 class BoxDirectory {
 public:
-    // `self`: this box. `mostDialed`: boxes that each box dials in a site of many.
-    // Preconditions: mostDialed > 0.
-    BoxDirectory(KnownBox self, size_t mostDialed);
+    // `self`: this box. `maxDialed`: boxes that each box dials in a site of many.
+    // Preconditions: maxDialed > 0.
+    BoxDirectory(KnownBox self, size_t maxDialed);
 
-    // Takes in what another box tells of `box`, which does not show that it lives.
+    // Takes in what another box says of `box`, which does not show that it lives.
     // Preconditions: none.
     void learn(const KnownBox& box, MonoTime now);
 
@@ -40,9 +40,9 @@
     // Preconditions: none.
     void forget(MonoTime oldest, const std::function<bool(const std::string&)>& keep);
 
-    // The boxes that became known, or whose zone did, since the last call; they are to be told on.
-    // Preconditions: none.
-    std::vector<KnownBox> takeNews();
+    // The boxes that became known, or whose zone did, since the last call; they are to be passed
+    // on. Preconditions: none.
+    std::vector<KnownBox> takeNewcomers();
 
     // All boxes, this one included. Preconditions: none.
     std::vector<KnownBox> all() const;
@@ -52,8 +52,8 @@
     // dials all that it knows, as nobody may know of it. Preconditions: none.
     std::vector<std::string> toDial(bool alone) const;
 
-    // Whether this box dials `address`, or would be dialed by it: the two tell each other what they
-    // have in flight. Preconditions: none.
+    // Whether this box dials `address`, or would be dialed by it: the two announce to each other
+    // what they have in flight. Preconditions: none.
     bool isNeighbour(const std::string& address) const;
 
     // The part of the other boxes that are neighbours; 1 if there is no other box.
@@ -78,9 +78,9 @@
     bool links(size_t from, size_t to) const;
 
     KnownBox m_self;
-    size_t m_mostDialed;
+    size_t m_maxDialed;
     std::map<std::string, Entry> m_boxes;  // By address.
-    std::vector<std::string> m_news;       // Addresses.
+    std::vector<std::string> m_newcomers;  // Addresses.
     // All boxes in the order of their hashes: each dials those that follow it.
     std::vector<std::pair<uint64_t, std::string>> m_ring;
     size_t m_selfIndex = 0;
--- a/include/observe/Events.h
+++ b/include/observe/Events.h
@@ -45,6 +45,8 @@
     kSendEnded = 2002,
     kCallerBad = 2003,
     kAttemptStarted = 2004,
+    kConnectionDropped = 2005,
+    kAnswerHeadBad = 2006,
     kUpstreamChanged = 2100,
     kUpstreamEjected = 2101,
     kObjectBad = 2102,
--- a/include/store/ObjectStore.h
+++ b/include/store/ObjectStore.h
@@ -1,11 +1,15 @@
-// What an object store tells: pages of objects and changes since a revision. The store itself is
-// the operators'; how its calls and bodies are spelled is the dialect's matter.
+// What an object store answers: pages of objects and changes since a revision. The store itself is
+// the operators'; how its calls and bodies are spelled is the dialect's matter, which hands out
+// values of the product only.
 #pragma once
 
-#include <nlohmann/json.hpp>
+#include "include/base/Error.h"
+#include "include/routing/Catalog.h"
+#include "include/routing/UpstreamTable.h"
 
 #include <cstdint>
 #include <string>
+#include <variant>
 #include <vector>
 
 namespace onyx {
@@ -13,11 +17,20 @@
 // The kinds of objects that a box reads.
 enum class ObjectKind : uint8_t { kConfiguration, kUpstreams };
 
-// One object, or the news that it is gone.
+// A configuration as the store, or another box, has it.
+struct StoredConfiguration {
+    CatalogParts parts;
+    std::string text;  // The same in the dialect's words, to be passed on to other boxes.
+};
+
+// An object that was removed, or that no box reads.
+using NoContent = std::monostate;
+
+// One object of the store. An Error: its content cannot be read.
 struct StoredObject {
     std::string name;
-    bool gone = false;
-    nlohmann::json content;  // What its owner wrote; null if it is gone.
+    bool removed = false;
+    std::variant<NoContent, StoredConfiguration, Upstream, Error> content;
 };
 
 // One answer of a list call.
--- a/include/store/StoreWatch.h
+++ b/include/store/StoreWatch.h
@@ -1,5 +1,8 @@
 // One kind of objects of the store, followed: listed once, then watched, listed again after a gap.
-// It can rest while another box tells what it would have told.
+// It can be paused while another box is followed.
+//
+// Owns its connection to the store. Relies on StorePacing and KnowledgeAge for when to call and for
+// what an answer covers, and on the dialect for the words.
 #pragma once
 
 #include "include/dialect/Dialect.h"
@@ -25,8 +28,8 @@
     bool staggered = false;  // Watches are held for StaggeredWait of their time, not for all of it.
 };
 
-// News from the store.
-struct StoreNews {
+// What the store answered: a list, or changes of one.
+struct StoreUpdate {
     std::vector<StoredObject> objects;
     bool whole = false;  // The objects are all that there are, not changes.
     MonoTime asOf;       // Everything acknowledged before this is covered.
@@ -37,16 +40,14 @@
 class StoreWatch {
 public:
     struct Sink {
-        std::function<void(const StoreNews&)> onNews;
+        std::function<void(const StoreUpdate&)> onUpdate;
         // The store answers again (empty text), or does not, and why. Called on changes only.
         std::function<void(const std::string&)> onReachable;
-        std::function<void()> onCall;  // A call was sent.
-        // Pause after a watch that told of changes; those that follow it come together.
-        std::function<Millis()> rest;
-        std::function<Millis()> wait;      // How long the next watch is held.
-        std::function<Millis()> maxPause;  // Longest pause after failures in a row.
-        // Pause after a list: a box that follows another soon needs no watch of its own.
-        std::function<Millis()> restAfterList;
+        std::function<void()> onCall;               // A call was sent.
+        std::function<Millis()> wait;               // How long the next watch is held.
+        std::function<Millis()> pauseAfterChanges;  // The others: see StorePacing.
+        std::function<Millis()> pauseAfterList;
+        std::function<Millis()> maxPauseAfterFailure;
     };
 
     // Preconditions: the dialect outlives the watch.
@@ -73,16 +74,20 @@
     };
 
     Task<Result<bool>> list();
+    Task<Result<ObjectPage>> readPage(std::string after);
     Task<Result<bool>> watch();
+    Task<Result<bool>> takeChanges(std::string_view body, MonoTime sent, Millis wait);
+    Task<> callOnce();
     Millis nextWait();
     Task<> waitWhilePaused();
-    Task<> restAfterList();
+    Task<> pauseAfterList();
     Task<Result<Answer>> call(std::string target, Millis timeout);
     Task<Result<bool>> connect();
     void disconnect();
     Error badStatus(const char* step, unsigned status) const;
     Millis pauseAfterFailure();
-    void tellReachable(const std::string& why);
+    void noteReachable(const std::string& why);
+    void report(StoreUpdate update);
 
     asio::any_io_executor m_executor;
     const Dialect& m_dialect;
--- a/src/gateway/AnswerRelay.cpp
+++ b/src/gateway/AnswerRelay.cpp
@@ -22,7 +22,7 @@
            status == http::status::too_many_requests || status == http::status::service_unavailable;
 }
 
-// What the head of an answer says of the send.
+// What the head of an answer says of the attempt.
 AttemptEnd JudgeHead(const UpstreamExchange& exchange) {
     const UpstreamFacts& facts = exchange.facts();
     if (facts.misdirected) {
@@ -81,7 +81,7 @@
     if (judged == AttemptEnd::kAnswered || judged == AttemptEnd::kFailed) {
         m_status = exchange.head().result_int();
         const HttpFields fields = PassedFields(exchange.head());
-        m_wholeAnswer = AnswerText(exchange.head(), fields, body, m_state.lifecycle.draining());
+        m_wholeAnswer = AnswerText(exchange.head(), fields, body, m_lifecycle.draining());
     }
     co_return RelayEnd{judged, false};
 }
@@ -135,7 +135,7 @@
     m_headSent = true;
     m_status = head.result_int();
     const HttpFields fields = PassedFields(head);
-    std::string text = ChunkedHeadText(head, fields, m_state.lifecycle.draining());
+    std::string text = ChunkedHeadText(head, fields, m_lifecycle.draining());
     co_return co_await m_caller.write(std::move(text));
 }
 
--- /dev/null
+++ b/src/gateway/Attempt.cpp
@@ -0,0 +1,128 @@
+#include "include/gateway/Attempt.h"
+
+#include "include/gateway/HttpText.h"
+#include "include/health/AttemptSign.h"
+
+namespace onyx {
+
+Attempt::Attempt(RequestContext& context, CallerConnection& caller, AnswerRelay& relay,
+                 const AttemptRequest& request, const AttemptPlace& place)
+    : m_context(context),
+      m_caller(caller),
+      m_relay(relay),
+      m_request(request),
+      m_place(place),
+      m_exchange(std::make_shared<UpstreamExchange>(context, place.upstream, request.facts.id)),
+      m_start(ReadClocks().mono) {}
+
+Task<AttemptReport> Attempt::run() {
+    const std::string& upstream = m_place.upstream.id;
+    m_caller.watch([exchange = m_exchange] { exchange->cancel(); });
+    m_context.upstreams.attemptBegan(upstream);
+    const RelayEnd ended = co_await exchange();
+    m_caller.unwatch();
+    m_exchange->finish();
+    m_context.upstreams.attemptEnded(upstream);
+    noteHealth(ended.end);
+    AttemptReport report;
+    report.upstream = upstream;
+    report.end = ended.end;
+    report.timedOut = ended.timedOut;
+    report.unreachable = m_exchange->unreachable();
+    report.took = ReadClocks().mono - m_start;
+    report.connection = m_exchange->connection();
+    co_return report;
+}
+
+Task<RelayEnd> Attempt::exchange() {
+    const bool connected = co_await connect();
+    if (!connected) {
+        co_return RelayEnd{AttemptEnd::kNotSent, false};
+    }
+    m_sent = true;
+    const Admission& admission = m_request.admission;
+    if (m_request.first) {
+        m_context.retries.countFirst(admission.service, m_start);
+    }
+    m_context.log.sent(admission.service);
+    std::string text = orderText();
+    const MonoTime until = firstByteDeadline();
+    const AnswerRead head = co_await m_exchange->send(std::move(text), until);
+    if (head != AnswerRead::kPart) {
+        co_return RelayEnd{AttemptEnd::kUnclear, head == AnswerRead::kTimeout};
+    }
+    learnFromHead();
+    const ReadDeadlines deadlines{[this] { return firstByteDeadline(); },
+                                  [this] { return nextPieceDeadline(); }};
+    co_return co_await m_relay.relay(*m_exchange, admission.route->stream, until, deadlines);
+}
+
+// Opens the connection; false if the attempt is not to be sent. Time goes by meanwhile: what this
+// box knows must still allow the attempt, and the caller must still be there.
+Task<bool> Attempt::connect() {
+    const GatewaySettings& settings = m_context.settings;
+    const Route& route = *m_request.admission.route;
+    const Millis maxIdle = route.repeatable ? settings.idleConnection : settings.onceConnection;
+    const ConnectionBounds bounds = ConnectionBounds::For(route.objective, settings.connectTimeout);
+    const Result<bool> connected = co_await m_exchange->connect(maxIdle, bounds);
+    const auto age = m_context.configuration.age(ReadClocks().mono);
+    co_return connected.has_value() && !m_caller.gone() && MaySend(settings.admission, route, age);
+}
+
+std::string Attempt::orderText() const {
+    const Admission& admission = m_request.admission;
+    UpstreamOrder order;
+    order.upstreamId = m_place.upstream.id;
+    order.timeLeft = admission.deadline - ReadClocks().mono;
+    order.team = admission.team.value;
+    order.priority = admission.priority;
+    order.resumeAfter = m_relay.headSent() ? m_relay.lastEvent() : std::nullopt;
+    order.model = admission.spec != nullptr && admission.spec->model;
+    order.fetchFrom = m_place.source ? m_place.source->upstream.address : std::string();
+    HttpFields fields(m_request.message.base());
+    DropConnectionHeaders(fields);
+    m_context.dialect.writeOrder(fields, order);
+    return RequestText(m_request.message, fields);
+}
+
+MonoTime Attempt::firstByteDeadline() const {
+    const Route& route = *m_request.admission.route;
+    const AttemptWait wait{m_request.attempts.mayRetryUnanswered(), m_request.admission.deadline};
+    return FirstByteDeadline(wait, route.objective, route.stream, m_context.settings.stallTimeout,
+                             ReadClocks().mono);
+}
+
+MonoTime Attempt::nextPieceDeadline() const {
+    const AttemptWait wait{m_request.attempts.mayRetryBroken(), m_request.admission.deadline};
+    return NextPieceDeadline(wait, m_context.settings.stallTimeout, ReadClocks().mono);
+}
+
+void Attempt::learnFromHead() {
+    const UpstreamFacts& facts = m_exchange->facts();
+    const std::string& upstream = m_place.upstream.id;
+    const MonoTime now = ReadClocks().mono;
+    // With the head of a good answer the upstream has read the prompt.
+    if (facts.authentic) {
+        m_context.upstreams.notePrompt(m_request.facts.sharedParts, upstream, now);
+    }
+    if (!facts.unreadable.empty()) {
+        m_context.log.headUnreadable(m_request.facts.id, upstream, facts.unreadable);
+    }
+    if (facts.load) {
+        m_context.upstreams.noteReportedLoad(upstream, *facts.load, now);
+    }
+}
+
+// A caller that left says nothing of the upstream.
+void Attempt::noteHealth(AttemptEnd end) {
+    const auto sign = SignOfAttempt(end, m_exchange->unreachable());
+    if (!sign || m_caller.gone()) {
+        return;
+    }
+    const std::string& upstream = m_place.upstream.id;
+    if (m_context.upstreams.noteSign(upstream, *sign, m_start, ReadClocks().mono)) {
+        m_context.log.ejected(upstream, end);
+    }
+}
+
+}  // namespace onyx
--- a/src/gateway/CallerConnection.cpp
+++ b/src/gateway/CallerConnection.cpp
@@ -15,10 +15,12 @@
 
 namespace {
 
-constexpr size_t kReadSize = size_t{8} * 1024;
+constexpr size_t kReadSize = size_t{8} * 1024;  // Bytes of one read.
+// Times in milliseconds; choices. For the body of a request: the most that a slow line needs.
 constexpr Millis kBodyTimeout = 15000;
+// For the caller to read the last answer before the connection is closed.
 constexpr Millis kLingerTime = 500;
-// A caller that takes nothing for this long is dropped.
+// A caller whose machine acknowledges nothing for this long is dropped.
 constexpr Millis kUserTimeout = 10000;
 
 std::chrono::steady_clock::time_point ClockPoint(MonoTime time) {
@@ -62,7 +64,7 @@
 
 Task<bool> CallerConnection::readMore(MonoTime until) {
     startRead();
-    while (m_reading && ReadClocks().mono < until && !m_restEnded) {
+    while (m_reading && ReadClocks().mono < until && !m_waitStopped) {
         m_readDone.expires_at(ClockPoint(until));
         beast::error_code ec;
         co_await m_readDone.async_wait(asio::redirect_error(asio::use_awaitable, ec));
@@ -70,8 +72,8 @@
     co_return !m_reading && !m_gone;
 }
 
-void CallerConnection::endRest() {
-    m_restEnded = true;
+void CallerConnection::stopWaiting() {
+    m_waitStopped = true;
     m_readDone.cancel();
 }
 
@@ -146,7 +148,7 @@
         const bool head = parser.is_header_done();
         const MonoTime until = start + (head ? kBodyTimeout : limits.headerTimeout);
         if (!co_await readMore(until)) {
-            result.end = m_gone || m_restEnded ? ReadEnd::kClosed : ReadEnd::kSlow;
+            result.end = m_gone || m_waitStopped ? ReadEnd::kClosed : ReadEnd::kSlow;
             co_return result;
         }
     }
@@ -176,7 +178,7 @@
     beast::error_code ec;
     m_socket.shutdown(Tcp::socket::shutdown_send, ec);
     const MonoTime until = ReadClocks().mono + kLingerTime;
-    m_restEnded = false;
+    m_waitStopped = false;
     while (!ec && co_await readMore(until)) {
         m_buffer.consume(m_buffer.size());
     }
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -9,46 +9,59 @@
 
 namespace {
 
-constexpr Millis kDialPeriod = 500;
-constexpr Millis kDigestPeriod = 100;   // At most one digest in this time, and only on changes.
-constexpr Millis kDigestRenewal = 500;  // A digest without changes.
-constexpr size_t kMostDialed = 16;      // Boxes that this box dials; as many dial it.
-// Digests of a box are believed for this many of the periods that it tells.
+// All times in milliseconds.
+constexpr Millis kDialPeriod = 500;  // A choice: a box that is back is linked to well within 3 s.
+// At most one digest in this time, and only on changes: loads this old keep the bound on an
+// upstream's load (AffinityPolicy) in sites whose boxes all announce theirs.
+constexpr Millis kDigestPeriod = 100;
+constexpr Millis kDigestRenewal =
+    500;  // A digest without changes, which shows that this box lives.
+// Boxes that this box dials; as many dial it. With 32 links the digests of a site of 85 boxes fit
+// into the budget of control bytes once a second.
+constexpr size_t kMaxDialed = 16;
+// Digests of a box are believed for this many of the periods that it announces, and for a while at
+// least: one may be lost or late.
 constexpr Millis kPeriodsBelieved = 3;
-constexpr Millis kForgetAddress = 60000;
-constexpr Millis kLeastBelieved = 1200;
-constexpr int kMostCount = 65535;  // That a digest can tell.
+constexpr Millis kMinBelieved = 1200;
+constexpr Millis kForgetAddress = 60000;  // A choice: longer than the restart of a box.
+constexpr int kMaxCount = 65535;          // That a digest can carry.
 
 }  // namespace
 
-PeerMesh::PeerMesh(GatewayState& state, Sink sink)
-    : m_state(state), m_sink(std::move(sink)), m_acceptor(state.io) {
-    m_self = state.settings.box + "#" + std::to_string(state.started.ms);
+PeerMesh::PeerMesh(asio::io_context& io, const GatewaySettings& settings, UpstreamState& upstreams,
+                   Metrics& metrics, Sink sink)
+    : m_io(io),
+      m_settings(settings),
+      m_upstreams(upstreams),
+      m_metrics(metrics),
+      m_sink(std::move(sink)),
+      m_acceptor(io) {
+    m_self = settings.box + "#" + std::to_string(ReadClocks().mono.ms);
 }
 
 Result<bool> PeerMesh::start() {
-    BOOST_OUTCOME_TRY(m_acceptor, Listen(m_state.io, m_state.settings.peers, "peers.listen"));
+    BOOST_OUTCOME_TRY(m_acceptor, Listen(m_io, m_settings.peers, "peers.listen"));
     m_address = EndpointText(m_acceptor.local_endpoint());
     m_self += "@" + m_address;
-    m_boxes.emplace(KnownBox{m_address, m_state.settings.zone}, kMostDialed);
+    m_boxes.emplace(KnownBox{m_address, m_settings.zone}, kMaxDialed);
     const MonoTime now = ReadClocks().mono;
-    for (const Endpoint& seed : m_state.settings.seeds) {
+    for (const Endpoint& seed : m_settings.seeds) {
         m_boxes->learn({EndpointText(seed), {}}, now);
     }
-    const auto executor = m_state.io.get_executor();
+    const auto executor = m_io.get_executor();
     const auto greet = [this, executor](Tcp::socket socket) {
         Spawn(executor, greetAccepted(std::move(socket)));
     };
     Spawn(executor, AcceptAll(m_acceptor, greet));
     Spawn(executor, dialPeers());
-    Spawn(executor, tellLoads());
+    Spawn(executor, announceLoads());
     return true;
 }
 
 wire::HelloT PeerMesh::hello() const {
     wire::HelloT hello;
     hello.box = m_self;
-    hello.zone = m_state.settings.zone;
+    hello.zone = m_settings.zone;
     hello.address = m_address;
     hello.role = wire::LinkRole::Router;
     return hello;
@@ -66,11 +79,11 @@
     while (true) {
         const MonoTime now = ReadClocks().mono;
         dropSilent();
-        tellNewBoxes();
+        announceBoxes();
         m_boxes->forget(now - kForgetAddress,
                         [this](const std::string& address) { return m_links.contains(address); });
-        m_state.boxesKnown = m_boxes->size();
-        m_state.peerCounts.setShare(m_boxes->neighbourShare());
+        m_boxesKnown = m_boxes->size();
+        m_upstreams.setPeerShare(m_boxes->neighbourShare());
         dialMissing();
         co_await SleepFor(kDialPeriod);
     }
@@ -83,7 +96,7 @@
     }
     for (const std::string& address : wanted) {
         if (!m_links.contains(address) && m_dialing.insert(address).second) {
-            Spawn(m_state.io.get_executor(), dial(address));
+            Spawn(m_io.get_executor(), dial(address));
         }
     }
 }
@@ -132,7 +145,7 @@
 }
 
 void PeerMesh::onClosed(FrameLink& link) {
-    m_state.peerCounts.forget(link.peer().address);
+    m_upstreams.forgetPeer(link.peer().address);
     const auto it = m_links.find(link.peer().address);
     if (it != m_links.end() && it->second.link.get() == &link) {
         m_links.erase(it);
@@ -144,7 +157,7 @@
     const MonoTime now = ReadClocks().mono;
     std::vector<std::shared_ptr<FrameLink>> silent;
     for (const auto& [address, peer] : m_links) {
-        if (now - peer.heard > SilenceBound(peer.promised)) {
+        if (now - peer.heard > SilenceBound(peer.digestPeriod)) {
             silent.push_back(peer.link);
         }
     }
@@ -164,12 +177,12 @@
     return list;
 }
 
-void PeerMesh::tellNewBoxes() {
-    const std::vector<KnownBox> news = m_boxes->takeNews();
-    if (news.empty()) {
+void PeerMesh::announceBoxes() {
+    const std::vector<KnownBox> newcomers = m_boxes->takeNewcomers();
+    if (newcomers.empty()) {
         return;
     }
-    sendToMany(Audience::kAll, EncodeMessage(ListOf(news)));
+    sendToMany(Audience::kAll, EncodeMessage(ListOf(newcomers)));
 }
 
 void PeerMesh::sendTo(const std::string& address, std::string frame) {
@@ -177,7 +190,7 @@
     if (it == m_links.end()) {
         return;
     }
-    m_state.metrics.count("onyx_peer_bytes_sent_total", {}, frame.size());
+    m_metrics.count("onyx_peer_bytes_sent_total", {}, frame.size());
     const std::shared_ptr<FrameLink> link = it->second.link;
     link->sendEncoded(std::move(frame));
 }
@@ -193,7 +206,7 @@
     for (const auto& link : links) {
         link->sendEncoded(frame);
     }
-    m_state.metrics.count("onyx_peer_bytes_sent_total", {}, links.size() * frame.size());
+    m_metrics.count("onyx_peer_bytes_sent_total", {}, links.size() * frame.size());
 }
 
 void PeerMesh::learn(const wire::BoxListT& list) {
@@ -232,23 +245,23 @@
     }
     const MonoTime now = ReadClocks().mono;
     for (const auto& cached : digest.cached) {
-        m_state.caches.learn({cached.part(), cached.upstream()}, now);
+        m_upstreams.noteHolding({cached.part(), cached.upstream()}, now);
     }
-    peer.promised = static_cast<Millis>(digest.next_ms);
-    const Millis believed = std::max(kLeastBelieved, kPeriodsBelieved * peer.promised);
-    m_state.peerCounts.take(address, std::move(counts), now, believed);
+    peer.digestPeriod = static_cast<Millis>(digest.next_ms);
+    const Millis believed = std::max(kMinBelieved, kPeriodsBelieved * peer.digestPeriod);
+    m_upstreams.notePeerLoads(address, std::move(counts), now, believed);
 }
 
 // Digests go out on changes, as often as the budget of control bytes allows.
-Task<> PeerMesh::tellLoads() {
+Task<> PeerMesh::announceLoads() {
     while (true) {
         const MonoTime now = ReadClocks().mono;
-        const PeerCounts::Counts counts = m_state.loads.counts();
+        const PeerCounts::Counts counts = m_upstreams.ownLoads();
         const Millis renewal = std::max(kDigestRenewal, m_digestPeriod);
-        if (counts != m_told || m_state.caches.hasAnnouncements() ||
-            now - m_lastDigest >= renewal) {
+        const bool changed = counts != m_announced || m_upstreams.hasAnnouncements();
+        if (changed || now - m_lastDigest >= renewal) {
             sendDigest(counts);
-            m_told = counts;
+            m_announced = counts;
             m_lastDigest = now;
         }
         co_await SleepFor(m_digestPeriod);
@@ -259,23 +272,23 @@
     wire::DigestT digest;
     digest.sequence = ++m_sequence;
     for (const auto& [upstream, count] : counts) {
-        const auto load = static_cast<uint16_t>(std::min(count, kMostCount));
+        const auto load = static_cast<uint16_t>(std::min(count, kMaxCount));
         digest.loads.emplace_back(upstream, load, false);
     }
-    for (const CacheHolding& holding : m_state.caches.takeAnnouncements()) {
+    for (const CacheHolding& holding : m_upstreams.takeAnnouncements()) {
         digest.cached.emplace_back(holding.part, holding.upstream);
     }
-    // The promise is part of the frame whose size it depends on, so the size is taken with any.
+    // The period is part of the frame whose size it depends on, so the size is taken with any.
     digest.next_ms = static_cast<uint32_t>(kDigestPeriod);
     const size_t size = EncodeMessage(digest).size();
     const std::vector<std::string> links = linked();
     const auto neighbours = static_cast<size_t>(std::count_if(
         links.begin(), links.end(),
         [this](const std::string& address) { return m_boxes->isNeighbour(address); }));
-    m_digestPeriod = DigestPeriod(kDigestPeriod, neighbours, size, m_state.settings.digestBudget);
+    m_digestPeriod = DigestPeriod(kDigestPeriod, neighbours, size, m_settings.digestBudget);
     digest.next_ms = static_cast<uint32_t>(m_digestPeriod);
     sendToMany(Audience::kNeighbours, EncodeMessage(std::move(digest)));
-    m_state.metrics.set("onyx_peer_links", {}, static_cast<double>(m_links.size()));
+    m_metrics.set("onyx_peer_links", {}, static_cast<double>(m_links.size()));
 }
 
 }  // namespace onyx
--- /dev/null
+++ b/src/gateway/PlaceAttempt.cpp
@@ -0,0 +1,78 @@
+#include "include/gateway/PlaceAttempt.h"
+
+#include "include/base/Hash.h"
+
+namespace onyx {
+
+namespace {
+
+std::vector<PlacementCandidate> CandidatesOf(std::span<const Upstream* const> takingWork,
+                                             std::string_view ownZone, const UpstreamState& state,
+                                             const std::set<std::string>& tried, MonoTime now) {
+    std::vector<PlacementCandidate> candidates;
+    candidates.reserve(takingWork.size());
+    for (const Upstream* upstream : takingWork) {
+        PlacementCandidate candidate;
+        candidate.id = upstream->id;
+        candidate.sameZone = upstream->zone.value == ownZone;
+        candidate.tried = tried.contains(upstream->id);
+        candidate.ejected = state.isEjected(upstream->id, now);
+        candidate.load = state.load(upstream->id, now);
+        candidate.slots = upstream->slots;
+        candidates.push_back(candidate);
+    }
+    return candidates;
+}
+
+PlacementPolicy PolicyFor(const GatewaySettings& settings, bool model, bool loadsAreSampled) {
+    PlacementPolicy policy = model ? settings.modelPlacement : settings.plainPlacement;
+    if (auto* affinity = std::get_if<AffinityPolicy>(&policy)) {
+        affinity->drawsBound = loadsAreSampled;
+    }
+    return policy;
+}
+
+// The upstream from which `chosen` can fetch the prompt's shared parts, if there is one.
+std::optional<FetchSource> FetchSourceFor(const UpstreamState& state,
+                                          const PlacementQuestion& question, const Upstream& chosen,
+                                          MonoTime now) {
+    std::vector<CacheCandidate> candidates;
+    std::vector<const Upstream*> upstreams;
+    for (const auto& [id, entry] : state.table().all()) {
+        if (entry.upstream.service != question.service) {
+            continue;
+        }
+        const bool settled = now - entry.since >= CacheDirectory::kSettledAfter;
+        candidates.push_back({id, !state.isEjected(id, now), settled});
+        upstreams.push_back(&entry.upstream);
+    }
+    const auto source = state.caches().source(question.sharedParts, chosen.id, candidates, now);
+    if (!source) {
+        return std::nullopt;
+    }
+    return FetchSource{*upstreams[source->index], source->reason};
+}
+
+}  // namespace
+
+std::optional<AttemptPlace> PlaceAttempt(const GatewaySettings& settings,
+                                         const UpstreamState& upstreams,
+                                         const PlacementQuestion& question, MonoTime now) {
+    const auto takingWork = upstreams.table().takingWork(question.service);
+    const auto candidates = CandidatesOf(takingWork, settings.zone, upstreams, question.tried, now);
+    const bool model = question.spec != nullptr && question.spec->model;
+    const PlacementPolicy policy = PolicyFor(settings, model, upstreams.loadsAreSampled());
+    const uint64_t promptHash =
+        question.sharedParts.empty() ? question.draw : HashText(question.sharedParts.back());
+    const auto chosen = ChooseUpstream(policy, candidates, promptHash, question.draw);
+    if (!chosen) {
+        return std::nullopt;
+    }
+    AttemptPlace place{*takingWork[chosen->index], chosen->reason, std::nullopt};
+    if (question.spec != nullptr && question.spec->fetchesCache) {
+        place.source = FetchSourceFor(upstreams, question, place.upstream, now);
+    }
+    return place;
+}
+
+}  // namespace onyx
--- /dev/null
+++ b/src/gateway/RequestHandler.cpp
@@ -0,0 +1,191 @@
+#include "include/gateway/RequestHandler.h"
+
+#include "include/gateway/HttpText.h"
+
+namespace onyx {
+
+namespace http = boost::beast::http;
+
+RequestHandler::RequestHandler(RequestContext& context, CallerConnection& caller,
+                               ReadRequest request)
+    : m_context(context),
+      m_caller(caller),
+      m_message(std::move(request.message)),
+      m_arrived(request.arrived),
+      m_draw(context.random()) {}
+
+Task<AfterAnswer> RequestHandler::run() {
+    m_context.lifecycle.requestBegan();
+    std::optional<Refusal> refusal = readHead();
+    if (!refusal) {
+        refusal = admit();
+    }
+    AfterAnswer after = AfterAnswer::kClose;
+    if (refusal) {
+        after = co_await refuse(*refusal);
+    } else {
+        after = co_await serve();
+    }
+    m_context.lifecycle.requestEnded();
+    co_return after;
+}
+
+std::optional<Refusal> RequestHandler::readHead() {
+    Result<CallerFacts> facts = m_context.dialect.readCaller(m_message.base());
+    if (facts.has_error()) {
+        return MakeRefusal(RefusalReason::kBadHead, facts.error().text());
+    }
+    m_facts = std::move(facts.value());
+    if (m_facts.id.empty()) {
+        return MakeRefusal(RefusalReason::kNoRequestId);
+    }
+    m_relay.emplace(m_context.lifecycle, m_caller, m_facts.lastEventId);
+    return std::nullopt;
+}
+
+// Asked again before each further attempt, so that a request that waited is not handled by what is
+// no longer in force. A refusal leaves the admission before it as it is.
+std::optional<Refusal> RequestHandler::admit() {
+    const MonoTime now = ReadClocks().mono;
+    const AdmissionRequest request{m_message[http::field::host], m_message.target(), m_facts.key,
+                                   m_facts.clientTimeout,        m_arrived,          m_draw};
+    const AdmissionKnowledge knowledge =
+        KnowledgeOf(m_context.configuration, m_context.upstreams, m_context.lifecycle, now);
+    auto decided = Admit(m_context.settings.admission, knowledge, request);
+    if (auto* refusal = std::get_if<Refusal>(&decided)) {
+        return std::move(*refusal);
+    }
+    const bool first = m_admission.route == nullptr;
+    m_admission = std::get<Admission>(std::move(decided));
+    m_context.log.admitted(m_admission, knowledge.catalogAge);
+    if (first) {
+        AttemptRules rules;
+        rules.repeatable = m_admission.route->repeatable;
+        rules.resumable = m_admission.route->resumable;
+        rules.maxAttempts = m_admission.route->maxAttempts;
+        m_attempts = RequestAttempts(rules);
+    }
+    return std::nullopt;
+}
+
+Task<AfterAnswer> RequestHandler::serve() {
+    while (true) {
+        const auto next = place();
+        if (!next) {
+            const Verdict verdict = m_attempts.giveUp(m_relay->headSent(), StepReason::kNoUpstream);
+            co_return co_await conclude(verdict);
+        }
+        const Verdict verdict = co_await attempt(*next);
+        if (m_caller.gone()) {
+            co_return abandon("caller-gone");
+        }
+        if (verdict.step != NextStep::kRetry) {
+            co_return co_await conclude(verdict);
+        }
+        const std::optional<Refusal> refusal = admit();
+        if (!refusal) {
+            continue;
+        }
+        const Verdict last = m_attempts.giveUp(m_relay->headSent(), StepReason::kRefusedSince);
+        if (last.step == NextStep::kRefuse) {
+            co_return co_await refuse(*refusal);
+        }
+        co_return co_await conclude(last);
+    }
+}
+
+std::optional<AttemptPlace> RequestHandler::place() {
+    const MonoTime now = ReadClocks().mono;
+    m_context.upstreams.expirePeerLoads(now);
+    const PlacementQuestion question{m_admission.service, m_admission.spec, m_facts.sharedParts,
+                                     m_tried, m_draw};
+    return PlaceAttempt(m_context.settings, m_context.upstreams, question, now);
+}
+
+Task<Verdict> RequestHandler::attempt(const AttemptPlace& place) {
+    m_upstream = place.upstream.id;
+    m_context.log.attemptStarted(m_facts, m_attempts.attempts() + 1, place,
+                                 ReadClocks().mono - m_arrived);
+    const AttemptRequest request{m_message, m_facts, m_admission, m_attempts, !m_sent};
+    Attempt attempt(m_context, m_caller, *m_relay, request, place);
+    const AttemptReport report = co_await attempt.run();
+    m_sent = m_sent || attempt.sent();
+    m_timedOut = report.timedOut;
+    m_tried.insert(place.upstream.id);
+    const Verdict verdict = judge(report.end);
+    m_context.log.attemptEnded(m_facts.id, report, verdict);
+    co_return verdict;
+}
+
+Verdict RequestHandler::judge(AttemptEnd end) {
+    const MonoTime now = ReadClocks().mono;
+    const bool timeLeft = HasTimeForAttempt(m_admission.deadline, now) && !m_caller.gone();
+    return m_attempts.ended(end, {timeLeft, m_relay->headSent()}, [&] {
+        return m_context.retries.takeRetry(m_admission.service, m_context.mesh.boxesKnown(), now);
+    });
+}
+
+Task<AfterAnswer> RequestHandler::conclude(const Verdict& verdict) {
+    if (verdict.step == NextStep::kDeliver) {
+        co_return co_await deliver();
+    }
+    if (verdict.step == NextStep::kBreak) {
+        co_return abandon("stream-broken");
+    }
+    const RefusalReason failed = m_timedOut ? RefusalReason::kTimedOut : RefusalReason::kUnclear;
+    const bool notRun = verdict.step == NextStep::kRefuse;
+    const Refusal refusal = MakeRefusal(notRun ? RefusalReason::kNoUpstream : failed);
+    co_return co_await refuse(refusal);
+}
+
+Task<AfterAnswer> RequestHandler::deliver() {
+    const bool written = co_await m_relay->finish();
+    m_context.log.done(report(), m_admission, "answered");
+    co_return written ? afterAnswer() : AfterAnswer::kAborted;
+}
+
+// Ends the connection without an answer's end, so that the caller sees that it is not whole.
+AfterAnswer RequestHandler::abandon(std::string_view outcome) {
+    m_caller.abort();
+    m_context.log.done(report(), m_admission, outcome);
+    return AfterAnswer::kAborted;
+}
+
+Task<AfterAnswer> RequestHandler::refuse(const Refusal& refusal) {
+    HttpFields fields;
+    if (!m_facts.id.empty()) {
+        m_context.dialect.markAnswer(fields, m_facts.id);
+    }
+    if (refusal.retryAfter) {
+        const auto [name, value] = m_context.dialect.retryAfter(*refusal.retryAfter);
+        fields.set(name, value);
+    }
+    const bool close = afterAnswer() == AfterAnswer::kClose;
+    std::string text = RefusalText(refusal.status, refusal.text, fields, close);
+    const bool written = co_await m_caller.write(std::move(text));
+    const ConfigurationState& configuration = m_context.configuration;
+    ConfigurationReport decidedOn{std::nullopt, configuration.age(ReadClocks().mono)};
+    if (configuration.catalog()) {
+        decidedOn.version = configuration.version();
+    }
+    m_context.log.refused(report(), refusal, decidedOn);
+    co_return written ? afterAnswer() : AfterAnswer::kAborted;
+}
+
+AfterAnswer RequestHandler::afterAnswer() const {
+    const bool keep = m_message.keep_alive() && !m_context.lifecycle.draining();
+    return keep ? AfterAnswer::kKeep : AfterAnswer::kClose;
+}
+
+RequestReport RequestHandler::report() const {
+    RequestReport report;
+    report.id = m_facts.id;
+    report.upstream = m_upstream;
+    report.attempts = m_attempts.attempts();
+    report.mayHaveRun = m_attempts.mayHaveRun();
+    report.status = m_relay ? m_relay->status() : 0;
+    report.took = ReadClocks().mono - m_arrived;
+    return report;
+}
+
+}  // namespace onyx
--- /dev/null
+++ b/src/gateway/RequestLog.cpp
@@ -0,0 +1,122 @@
+#include "include/gateway/RequestLog.h"
+
+#include "include/observe/Events.h"
+
+namespace onyx {
+
+namespace {
+
+std::string YesNo(bool value) {
+    return value ? "yes" : "no";
+}
+
+template <class Number>
+std::string NumberOr(const std::optional<Number>& number, const char* otherwise) {
+    return number ? std::to_string(*number) : otherwise;
+}
+
+}  // namespace
+
+void RequestLog::admitted(const Admission& admission, std::optional<Millis> configurationAge) {
+    if (admission.stale) {
+        m_metrics.count("onyx_stale_decisions_total");
+    }
+    if (m_servesStale == admission.stale) {
+        return;
+    }
+    m_servesStale = admission.stale;
+    logEvent(Event::kServingStale, {{"stale", YesNo(admission.stale)},
+                                    {"configuration", std::to_string(admission.catalog->version())},
+                                    {"age_ms", NumberOr(configurationAge, "none")}});
+}
+
+void RequestLog::attemptStarted(const CallerFacts& facts, int attempt, const AttemptPlace& place,
+                                Millis after) {
+    const auto& source = place.source;
+    const std::string_view sourceReason =
+        source ? CacheSourceReasonName(source->reason) : std::string_view();
+    logEvent(Event::kAttemptStarted,
+             {{"request", facts.id},
+              {"attempt", std::to_string(attempt)},
+              {"upstream", place.upstream.id},
+              {"reason", std::string(PlacementReasonName(place.reason))},
+              {"prompt", facts.sharedParts.empty() ? std::string() : facts.sharedParts.back()},
+              {"prompt_tokens", std::to_string(facts.promptTokens)},
+              {"cache_source", source ? source->upstream.id : std::string()},
+              {"cache_reason", std::string(sourceReason)},
+              {"after_ms", std::to_string(after)}});
+}
+
+void RequestLog::sent(const ServiceId& service) {
+    m_metrics.count("onyx_sends_total", {{"service", service.value}});
+}
+
+void RequestLog::headUnreadable(const std::string& request, const std::string& upstream,
+                                const std::string& problem) {
+    logEvent(Event::kAnswerHeadBad,
+             {{"request", request}, {"upstream", upstream}, {"why", problem}});
+}
+
+void RequestLog::ejected(const std::string& upstream, AttemptEnd after) {
+    logEvent(Event::kUpstreamEjected,
+             {{"upstream", upstream}, {"after", std::string(AttemptEndName(after))}});
+}
+
+void RequestLog::attemptEnded(const std::string& request, const AttemptReport& report,
+                              const Verdict& verdict) {
+    const std::string end(AttemptEndName(report.end));
+    m_metrics.count("onyx_send_ends_total", {{"end", end}});
+    if (report.end == AttemptEnd::kAnswered) {
+        return;
+    }
+    const ConnectionReport& connection = report.connection;
+    logEvent(Event::kSendEnded, {{"request", request},
+                                 {"upstream", report.upstream},
+                                 {"end", end},
+                                 {"timed_out", YesNo(report.timedOut)},
+                                 {"unreachable", YesNo(report.unreachable)},
+                                 {"took_ms", std::to_string(report.took)},
+                                 {"connection", connection.kept ? "kept" : "new"},
+                                 {"rested_ms", std::to_string(connection.idle)},
+                                 {"ended_by", std::string(ConnectionEndName(connection.end))},
+                                 {"unacknowledged", NumberOr(connection.unacknowledged, "unknown")},
+                                 {"retried", YesNo(verdict.step == NextStep::kRetry)},
+                                 {"why", std::string(StepReasonName(verdict.reason))}});
+}
+
+void RequestLog::refused(const RequestReport& request, const Refusal& refusal,
+                         const ConfigurationReport& configuration) {
+    logEvent(Event::kRequestRefused, {{"request", request.id},
+                                      {"status", std::to_string(refusal.status)},
+                                      {"reason", refusal.text},
+                                      {"upstream", request.upstream},
+                                      {"may_have_run", YesNo(request.mayHaveRun)},
+                                      {"configuration", NumberOr(configuration.version, "none")},
+                                      {"knowledge_age_ms", NumberOr(configuration.age, "none")}});
+    m_metrics.count("onyx_refusals_total",
+                    {{"status", std::to_string(refusal.status)}, {"why", refusal.text}});
+}
+
+void RequestLog::done(const RequestReport& request, const Admission& admission,
+                      std::string_view outcome) {
+    const Route& route = *admission.route;
+    m_metrics.count("onyx_requests_total", {{"outcome", std::string(outcome)}});
+    m_metrics.observe("onyx_request_ms", {{"route", route.name}},
+                      static_cast<double>(request.took));
+    logEvent(Event::kRequestDone, {{"request", request.id},
+                                   {"route", route.name},
+                                   {"team", admission.team.value},
+                                   {"outcome", std::string(outcome)},
+                                   {"status", std::to_string(request.status)},
+                                   {"upstream", request.upstream},
+                                   {"sends", std::to_string(request.attempts)},
+                                   {"configuration", std::to_string(admission.catalog->version())},
+                                   {"took_ms", std::to_string(request.took)}});
+}
+
+void RequestLog::badRequest(unsigned status, const std::string& problem) {
+    logEvent(Event::kCallerBad, {{"status", std::to_string(status)}, {"why", problem}});
+    m_metrics.count("onyx_bad_requests_total", {{"status", std::to_string(status)}});
+}
+
+}  // namespace onyx
--- /dev/null
+++ b/src/gateway/StatusServer.cpp
@@ -0,0 +1,57 @@
+#include "include/gateway/StatusServer.h"
+
+#include "include/observe/Events.h"
+
+namespace onyx {
+
+namespace {
+
+constexpr unsigned kOk = 200;
+constexpr unsigned kNotFound = 404;
+constexpr unsigned kUnavailable = 503;
+
+}  // namespace
+
+StatusServer::StatusServer(const GatewaySettings& settings, const Dialect& dialect,
+                           const ConfigurationState& configuration, const Lifecycle& lifecycle,
+                           Metrics& metrics, std::function<bool()> ready)
+    : m_settings(settings),
+      m_dialect(dialect),
+      m_configuration(configuration),
+      m_lifecycle(lifecycle),
+      m_metrics(metrics),
+      m_ready(std::move(ready)) {}
+
+Result<bool> StatusServer::start(asio::io_context& io) {
+    const HttpLimits limits;
+    BOOST_OUTCOME_TRY(m_readinessServer,
+                      HttpServer::Make(io, m_settings.readiness, limits,
+                                       [this](HttpExchange& e) { return answerReadiness(e); }));
+    BOOST_OUTCOME_TRY(m_metricsServer,
+                      HttpServer::Make(io, m_settings.metrics, limits,
+                                       [this](HttpExchange& e) { return answerMetrics(e); }));
+    return true;
+}
+
+Task<> StatusServer::answerReadiness(HttpExchange& exchange) {
+    const bool ready = m_ready();
+    if (ready != m_loggedReady) {
+        m_loggedReady = ready;
+        logEvent(Event::kReadiness, {{"ready", ready ? "yes" : "no"}});
+    }
+    const bool known = exchange.request().target() == m_dialect.readinessTarget();
+    const unsigned status = !known ? kNotFound : ready ? kOk : kUnavailable;
+    const HttpHeaders headers;
+    co_await exchange.respond(status, headers, "text/plain", ready ? "ready" : "not ready");
+}
+
+Task<> StatusServer::answerMetrics(HttpExchange& exchange) {
+    const auto age = m_configuration.age(ReadClocks().mono);
+    m_metrics.set("onyx_active_requests", {}, static_cast<double>(m_lifecycle.activeRequests()));
+    m_metrics.set("onyx_knowledge_age_ms", {}, static_cast<double>(age.value_or(-1)));
+    const std::string text = m_metrics.text();
+    const HttpHeaders headers;
+    co_await exchange.respond(kOk, headers, "text/plain; version=0.0.4", text);
+}
+
+}  // namespace onyx
--- a/src/gateway/UpstreamExchange.cpp
+++ b/src/gateway/UpstreamExchange.cpp
@@ -28,23 +28,24 @@
 
 }  // namespace
 
-UpstreamExchange::UpstreamExchange(GatewayState& state, Upstream upstream, std::string requestId)
-    : m_state(state),
+UpstreamExchange::UpstreamExchange(RequestContext& context, Upstream upstream,
+                                   std::string requestId)
+    : m_context(context),
       m_upstream(std::move(upstream)),
       m_requestId(std::move(requestId)),
-      m_delivery(state.io) {}
+      m_delivery(context.io) {}
 
-Task<Result<bool>> UpstreamExchange::connect(Millis mostRest, const ConnectionBounds& bounds) {
+Task<Result<bool>> UpstreamExchange::connect(Millis maxIdle, const ConnectionBounds& bounds) {
     m_bounds = bounds;
-    if (takeKept(mostRest)) {
+    if (takeKept(maxIdle)) {
         co_return true;
     }
     const Result<Endpoint> peer = ParseEndpoint(m_upstream.address);
     if (peer.has_error()) {
         co_return peer.error();
     }
-    m_connection = m_state.pool.create();
-    m_state.metrics.count("onyx_upstream_connections_total");
+    m_connection = m_context.upstreams.pool().create();
+    m_context.log.connecting();
     auto& stream = m_connection->stream;
     stream.expires_after(std::chrono::milliseconds(bounds.connect));
     const Endpoint& endpoint = peer.value();
@@ -58,15 +59,22 @@
     co_return prepareSocket();
 }
 
-bool UpstreamExchange::takeKept(Millis mostRest) {
+bool UpstreamExchange::takeKept(Millis maxIdle) {
     const MonoTime now = ReadClocks().mono;
-    m_connection = m_state.pool.take(m_upstream.id, mostRest, now);
-    if (!m_connection || SetUserTimeout(m_connection->stream.socket(), m_bounds.unacknowledged)) {
-        m_connection.reset();  // One that takes no option has ended: another is opened.
+    m_connection = m_context.upstreams.pool().take(m_upstream.id, maxIdle, now);
+    if (!m_connection) {
+        return false;
+    }
+    const auto ec = SetUserTimeout(m_connection->stream.socket(), m_bounds.unacknowledged);
+    if (ec) {
+        // It has ended: another is opened.
+        logEvent(Event::kConnectionDropped,
+                 {{"request", m_requestId}, {"upstream", m_upstream.id}, {"why", ec.message()}});
+        m_connection.reset();
         return false;
     }
     m_report.kept = true;
-    m_report.rested = now - m_connection->lastUsed;
+    m_report.idle = now - m_connection->lastUsed;
     return true;
 }
 
@@ -77,8 +85,8 @@
     if (!ec) {
         ec = SetUserTimeout(socket, m_bounds.unacknowledged);
     }
-    // The way to an upstream may be cut: a request that is given up on here would otherwise still
-    // be delivered, and run, when the way is mended.
+    // The network to an upstream may be cut: a request that is given up on here would otherwise
+    // still be delivered, and run, when it is mended.
     if (!ec) {
         ec = SetResetOnClose(socket);
     }
@@ -90,7 +98,7 @@
 
 // Only a reset of this box takes back what is on its way: of a connection that keep-alive probes
 // end, the system forgets its part, and what was written may be delivered seconds later, when a cut
-// is mended and the request has long run elsewhere. So none are sent while a connection rests,
+// is mended and the request has long run elsewhere. So none are sent while a connection is idle,
 // for it may be taken at any moment, nor until the upstream's machine has the whole request: the
 // bound on unacknowledged bytes watches that time. In 210 played days with cuts of 6 s, in which
 // upstreams leave, 9 had such late arrivals with probes at all times, none has now.
@@ -164,11 +172,11 @@
     if (ec || m_cancelled) {
         co_return endOf(ec);
     }
-    m_facts = m_state.dialect.readUpstream(head());
+    m_facts = m_context.dialect.readUpstream(head());
     co_return AnswerRead::kPart;
 }
 
-// What a read that failed says of the answer, and of the way to the upstream.
+// What a read that failed says of the answer, and of the network to the upstream.
 AnswerRead UpstreamExchange::endOf(const beast::error_code& ec) {
     if (m_cancelled) {
         return AnswerRead::kCancelled;
@@ -248,8 +256,8 @@
 }
 
 // Gives the connection to the pool; false if it is not fit for that.
-bool UpstreamExchange::rest() {
-    const Upstream* upstream = m_state.upstreams.find(m_upstream.id);
+bool UpstreamExchange::keep() {
+    const Upstream* upstream = m_context.upstreams.table().find(m_upstream.id);
     if (!isClean() || upstream == nullptr || upstream->leaving) {
         return false;
     }
@@ -257,7 +265,7 @@
         return false;
     }
     m_connection->keepAlive = m_facts.keepAlive.value_or(0);
-    m_state.pool.keep(m_upstream.id, std::move(m_connection), ReadClocks().mono);
+    m_context.upstreams.pool().keep(m_upstream.id, std::move(m_connection), ReadClocks().mono);
     return true;
 }
 
@@ -266,7 +274,7 @@
     if (!m_connection) {
         return;
     }
-    if (!rest()) {
+    if (!keep()) {
         noteEnd(ConnectionEnd::kReset);
         m_connection->stream.close();
     }
--- a/src/gateway/UpstreamPool.cpp
+++ b/src/gateway/UpstreamPool.cpp
@@ -8,37 +8,37 @@
 
 namespace {
 
-// An upstream closes a resting connection at its own time: not used within this much of it.
-constexpr Millis kKeepAliveMargin = 500;
+// An upstream closes an idle connection at a time of its own: not used within this much of it.
+constexpr Millis kKeepAliveMargin = 500;  // A choice: longer than any way there.
 
-// Whether nothing came on a resting connection: neither its end nor bytes that nobody asked for.
+// Whether nothing came on an idle connection: neither its end nor bytes that nobody asked for.
 bool IsQuiet(UpstreamConnection& connection) {
     return connection.buffer.size() == 0 &&
            PeekSocket(connection.stream.socket()) == SocketPeek::kQuiet;
 }
 
-bool Rested(const UpstreamConnection& connection, Millis mostRest, MonoTime now) {
+bool IdleTooLong(const UpstreamConnection& connection, Millis maxIdle, MonoTime now) {
     const Millis own = connection.keepAlive > 0
-                           ? std::min(mostRest, connection.keepAlive - kKeepAliveMargin)
-                           : mostRest;
+                           ? std::min(maxIdle, connection.keepAlive - kKeepAliveMargin)
+                           : maxIdle;
     return now - connection.lastUsed > own;
 }
 
 }  // namespace
 
-std::shared_ptr<UpstreamConnection> UpstreamPool::take(const std::string& upstream, Millis mostRest,
+std::shared_ptr<UpstreamConnection> UpstreamPool::take(const std::string& upstream, Millis maxIdle,
                                                        MonoTime now) {
-    const auto it = m_resting.find(upstream);
-    if (it == m_resting.end()) {
+    const auto it = m_idle.find(upstream);
+    if (it == m_idle.end()) {
         return nullptr;
     }
-    auto& resting = it->second;
-    while (!resting.empty()) {
-        std::shared_ptr<UpstreamConnection> newest = resting.back();
-        if (Rested(*newest, mostRest, now)) {
-            return nullptr;  // The others rested longer.
+    auto& idle = it->second;
+    while (!idle.empty()) {
+        std::shared_ptr<UpstreamConnection> newest = idle.back();
+        if (IdleTooLong(*newest, maxIdle, now)) {
+            return nullptr;  // The others were idle for longer.
         }
-        resting.pop_back();
+        idle.pop_back();
         if (IsQuiet(*newest)) {
             return newest;
         }
@@ -50,20 +50,20 @@
                         MonoTime now) {
     connection->lastUsed = now;
     connection->stream.expires_never();
-    auto& resting = m_resting[upstream];
-    resting.push_back(std::move(connection));
-    if (resting.size() > kMostResting) {
-        resting.pop_front();
+    auto& idle = m_idle[upstream];
+    idle.push_back(std::move(connection));
+    if (idle.size() > kMaxIdlePerUpstream) {
+        idle.pop_front();
     }
 }
 
-void UpstreamPool::trim(Millis mostRest, MonoTime now) {
-    for (auto it = m_resting.begin(); it != m_resting.end();) {
-        auto& resting = it->second;
-        while (!resting.empty() && Rested(*resting.front(), mostRest, now)) {
-            resting.pop_front();
+void UpstreamPool::trim(Millis maxIdle, MonoTime now) {
+    for (auto it = m_idle.begin(); it != m_idle.end();) {
+        auto& idle = it->second;
+        while (!idle.empty() && IdleTooLong(*idle.front(), maxIdle, now)) {
+            idle.pop_front();
         }
-        it = resting.empty() ? m_resting.erase(it) : std::next(it);
+        it = idle.empty() ? m_idle.erase(it) : std::next(it);
     }
 }
 
--- a/src/membership/BoxDirectory.cpp
+++ b/src/membership/BoxDirectory.cpp
@@ -6,8 +6,8 @@
 
 namespace onyx {
 
-BoxDirectory::BoxDirectory(KnownBox self, size_t mostDialed)
-    : m_self(std::move(self)), m_mostDialed(mostDialed) {
+BoxDirectory::BoxDirectory(KnownBox self, size_t maxDialed)
+    : m_self(std::move(self)), m_maxDialed(maxDialed) {
     arrange();
 }
 
@@ -26,15 +26,15 @@
 
 BoxDirectory::Entry& BoxDirectory::note(const KnownBox& box, MonoTime now) {
     const auto [it, isNew] = m_boxes.try_emplace(box.address, Entry{box.zone, now});
-    const bool tellsZone = !box.zone.empty() && it->second.zone != box.zone;
-    if (tellsZone) {
+    const bool bringsZone = !box.zone.empty() && it->second.zone != box.zone;
+    if (bringsZone) {
         it->second.zone = box.zone;
     }
     if (isNew) {
         arrange();
     }
-    if (isNew || tellsZone) {
-        m_news.push_back(box.address);
+    if (isNew || bringsZone) {
+        m_newcomers.push_back(box.address);
     }
     return it->second;
 }
@@ -59,9 +59,9 @@
     }
 }
 
-std::vector<KnownBox> BoxDirectory::takeNews() {
+std::vector<KnownBox> BoxDirectory::takeNewcomers() {
     std::vector<KnownBox> news;
-    for (const std::string& address : std::exchange(m_news, {})) {
+    for (const std::string& address : std::exchange(m_newcomers, {})) {
         const auto it = m_boxes.find(address);
         if (it != m_boxes.end()) {
             news.push_back({address, it->second.zone});
@@ -81,7 +81,7 @@
 // Whether the box at one place of the ring dials the one at another.
 bool BoxDirectory::links(size_t from, size_t to) const {
     const size_t distance = (to + m_ring.size() - from) % m_ring.size();
-    return distance >= 1 && distance <= m_mostDialed;
+    return distance >= 1 && distance <= m_maxDialed;
 }
 
 std::vector<std::string> BoxDirectory::toDial(bool alone) const {
@@ -113,7 +113,7 @@
 
 double BoxDirectory::neighbourShare() const {
     const size_t others = m_boxes.size();
-    const size_t neighbours = std::min(others, 2 * m_mostDialed);
+    const size_t neighbours = std::min(others, 2 * m_maxDialed);
     return others == 0 ? 1 : static_cast<double>(neighbours) / static_cast<double>(others);
 }
 
--- a/src/observe/Events.cpp
+++ b/src/observe/Events.cpp
@@ -75,6 +75,10 @@
             return "send-ended";
         case Event::kAttemptStarted:
             return "attempt-started";
+        case Event::kConnectionDropped:
+            return "connection-dropped";
+        case Event::kAnswerHeadBad:
+            return "answer-head-bad";
         case Event::kCallerBad:
             return "caller-bad";
         case Event::kUpstreamChanged:
--- a/src/store/StoreWatch.cpp
+++ b/src/store/StoreWatch.cpp
@@ -20,8 +20,9 @@
 
 namespace {
 
-constexpr Millis kConnectTimeout = 1000;
-constexpr uint64_t kMostAnswerBytes = uint64_t{64} << 20;
+constexpr Millis kConnectTimeout = 1000;  // A choice: one lost packet of the opening is sent again.
+// Far above any list; bounds what a broken answer can cost.
+constexpr uint64_t kMaxAnswerBytes = uint64_t{64} << 20;
 constexpr unsigned kOk = 200;
 constexpr unsigned kGone = 410;
 
@@ -58,11 +59,11 @@
     }
 }
 
-// A refresh() waits until the rest is over, so that quick changes cost few calls; after a resume()
-// nobody else tells this box any more, so the rest ends.
-Task<> StoreWatch::restAfterList() {
+// A refresh() waits until the pause is over, so that quick changes cost few calls; after a resume()
+// this box follows nobody any more, so the pause ends.
+Task<> StoreWatch::pauseAfterList() {
     m_urgent = false;
-    const MonoTime until = ReadClocks().mono + m_sink.restAfterList();
+    const MonoTime until = ReadClocks().mono + m_sink.pauseAfterList();
     while (!m_urgent && ReadClocks().mono < until) {
         m_wake.expires_after(std::chrono::milliseconds(until - ReadClocks().mono));
         boost::system::error_code ec;
@@ -73,35 +74,41 @@
 Task<> StoreWatch::run() {
     while (true) {
         co_await waitWhilePaused();
-        Result<bool> done = true;
-        if (m_listed) {
-            done = co_await watch();
-        } else {
-            done = co_await list();
-            if (done.has_value()) {
-                tellReachable("");
-                co_await restAfterList();
-            }
-        }
-        if (done.has_value()) {
-            m_pause = 0;
-            m_failed = false;
-            tellReachable("");
-            continue;
+        co_await callOnce();
+    }
+}
+
+// Lists or watches once, and pauses as is due after it.
+Task<> StoreWatch::callOnce() {
+    const bool lists = !m_listed;
+    Result<bool> done = true;
+    if (lists) {
+        done = co_await list();
+    } else {
+        done = co_await watch();
+    }
+    if (done.has_value()) {
+        noteReachable("");
+        if (lists) {
+            co_await pauseAfterList();
         }
-        disconnect();
-        m_failed = true;
-        tellReachable(done.error().text());
-        co_await SleepFor(pauseAfterFailure());
+        m_pause = 0;
+        m_failed = false;
+        co_return;
     }
+    disconnect();
+    m_failed = true;
+    noteReachable(done.error().text());
+    const Millis pause = pauseAfterFailure();
+    co_await SleepFor(pause);
 }
 
 Millis StoreWatch::pauseAfterFailure() {
-    m_pause = PauseAfterFailure(m_pause, m_sink.maxPause());
+    m_pause = PauseAfterFailure(m_pause, m_sink.maxPauseAfterFailure());
     return std::uniform_int_distribution<Millis>(m_pause / 2, m_pause)(m_random);
 }
 
-void StoreWatch::tellReachable(const std::string& why) {
+void StoreWatch::noteReachable(const std::string& why) {
     const bool changed = why.empty() != m_unreachable.empty();
     m_unreachable = why;
     if (changed) {
@@ -114,44 +121,49 @@
                  "status " + std::to_string(status)};
 }
 
+Task<Result<ObjectPage>> StoreWatch::readPage(std::string after) {
+    std::string target = m_dialect.listTarget(m_settings.kind, after);
+    const Result<Answer> answer = co_await call(std::move(target), m_settings.timeout);
+    if (answer.has_error()) {
+        co_return answer.error();
+    }
+    if (answer.value().status != kOk) {
+        co_return badStatus("store.list", answer.value().status);
+    }
+    co_return m_dialect.readPage(m_settings.kind, answer.value().body);
+}
+
 Task<Result<bool>> StoreWatch::list() {
-    StoreNews news;
-    news.whole = true;
-    news.asOf = ReadClocks().mono;
-    uint64_t revision = 0;
+    StoreUpdate update;
+    update.whole = true;
+    update.asOf = ReadClocks().mono;
     std::string after;
-    while (true) {
-        std::string target = m_dialect.listTarget(m_settings.kind, after);
-        const Result<Answer> answer = co_await call(std::move(target), m_settings.timeout);
-        if (answer.has_error()) {
-            co_return answer.error();
-        }
-        if (answer.value().status != kOk) {
-            co_return badStatus("store.list", answer.value().status);
-        }
-        Result<ObjectPage> page = m_dialect.readPage(answer.value().body);
+    bool more = true;
+    while (more) {
+        Result<ObjectPage> page = co_await readPage(after);
         if (page.has_error()) {
             co_return page.error();
         }
         // Changes made while the pages were read come again with the watch, which starts at the
         // first page's revision.
-        revision = revision == 0 ? page.value().revision : revision;
+        update.revision = update.revision == 0 ? page.value().revision : update.revision;
+        more = page.value().more && !page.value().objects.empty();
         for (StoredObject& object : page.value().objects) {
             after = object.name;
-            news.objects.push_back(std::move(object));
-        }
-        if (!page.value().more || page.value().objects.empty()) {
-            break;
+            update.objects.push_back(std::move(object));
         }
     }
     m_listed = true;
-    m_revision = revision;
-    news.revision = revision;
-    m_asOf = news.asOf;
-    m_sink.onNews(news);
+    report(std::move(update));
     co_return true;
 }
 
+void StoreWatch::report(StoreUpdate update) {
+    m_revision = update.revision;
+    m_asOf = update.asOf;
+    m_sink.onUpdate(update);
+}
+
 Millis StoreWatch::nextWait() {
     const Millis wait = m_sink.wait();
     if (m_failed) {
@@ -162,7 +174,6 @@
 }
 
 Task<Result<bool>> StoreWatch::watch() {
-    StoreNews news;
     const MonoTime sent = ReadClocks().mono;
     const Millis wait = nextWait();
     std::string target = m_dialect.watchTarget(m_settings.kind, m_revision, wait);
@@ -178,7 +189,11 @@
     if (answer.value().status != kOk) {
         co_return badStatus("store.watch", answer.value().status);
     }
-    Result<ObjectChanges> changes = m_dialect.readChanges(answer.value().body);
+    co_return co_await takeChanges(answer.value().body, sent, wait);
+}
+
+Task<Result<bool>> StoreWatch::takeChanges(std::string_view body, MonoTime sent, Millis wait) {
+    Result<ObjectChanges> changes = m_dialect.readChanges(m_settings.kind, body);
     if (changes.has_error()) {
         m_listed = false;
         co_return changes.error();
@@ -187,15 +202,15 @@
         m_listed = false;  // The store was restored: what is here may be ahead of it.
         co_return true;
     }
-    m_revision = changes.value().revision;
-    news.objects = std::move(changes.value().objects);
-    news.asOf = WatchCovers(sent, ReadClocks().mono, wait, news.objects.empty());
-    news.revision = m_revision;
-    m_asOf = news.asOf;
-    m_sink.onNews(news);
-    const Millis rest = news.objects.empty() ? 0 : m_sink.rest();
-    if (rest > 0) {
-        co_await SleepFor(rest);
+    StoreUpdate update;
+    update.objects = std::move(changes.value().objects);
+    update.revision = changes.value().revision;
+    const bool unchanged = update.objects.empty();
+    update.asOf = WatchCovers(sent, ReadClocks().mono, wait, unchanged);
+    report(std::move(update));
+    const Millis pause = unchanged ? 0 : m_sink.pauseAfterChanges();
+    if (pause > 0) {
+        co_await SleepFor(pause);
     }
     co_return true;
 }
@@ -234,7 +249,7 @@
     beast::error_code ec;
     co_await http::async_write(*m_stream, request, asio::redirect_error(asio::use_awaitable, ec));
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMostAnswerBytes);
+    parser.body_limit(kMaxAnswerBytes);
     if (!ec) {
         co_await http::async_read(*m_stream, m_buffer, parser,
                                   asio::redirect_error(asio::use_awaitable, ec));
--- a/tests/BoxDirectoryTest.cpp
+++ b/tests/BoxDirectoryTest.cpp
@@ -36,15 +36,15 @@
     BoxDirectory boxes(BoxOf(0), kMostDialed);
     boxes.learn(BoxOf(1, ""), {1});
     boxes.learn(BoxOf(2), {1});
-    CHECK(boxes.takeNews() == std::vector<KnownBox>{BoxOf(1, ""), BoxOf(2)});
+    CHECK(boxes.takeNewcomers() == std::vector<KnownBox>{BoxOf(1, ""), BoxOf(2)});
     boxes.learn(BoxOf(2), {2});
     boxes.heard(BoxOf(2), {3});
     boxes.learn(BoxOf(0), {3});
-    CHECK(boxes.takeNews().empty());
+    CHECK(boxes.takeNewcomers().empty());
     boxes.heard(BoxOf(1), {4});
-    CHECK(boxes.takeNews() == std::vector<KnownBox>{BoxOf(1)});
+    CHECK(boxes.takeNewcomers() == std::vector<KnownBox>{BoxOf(1)});
     boxes.learn(BoxOf(1, ""), {5});
-    CHECK(boxes.takeNews().empty());
+    CHECK(boxes.takeNewcomers().empty());
     CHECK(boxes.size() == 3);
 }
 
