--- a/include/config/Settings.h
+++ b/include/config/Settings.h
@@ -32,7 +32,6 @@
     std::string text(std::string_view key, std::string_view otherwise);
     int64_t number(std::string_view key, int64_t otherwise, int64_t least, int64_t most);
     double real(std::string_view key, double otherwise, double least, double most);
-    bool flag(std::string_view key, bool otherwise);
     std::vector<std::string> texts(std::string_view key);
 
     // Like text, but the key must be there and not empty.
--- a/include/gateway/CallerConnection.h
+++ b/include/gateway/CallerConnection.h
@@ -74,6 +74,7 @@
     Task<bool> readMore(MonoTime until);
     Task<bool> waitForFirstByte(const CallerLimits& limits);
     bool parse(Parser& parser, ReadRequest& result);
+    static void takeMessage(CallerMessage message, ReadRequest& result);
     bool hasFoldedHeader() const;
 
     Tcp::socket m_socket;
--- a/include/health/UpstreamHealth.h
+++ b/include/health/UpstreamHealth.h
@@ -1,5 +1,8 @@
-// Which upstreams are ejected for a while, from what requests saw of them. Nothing is probed:
-// after a growing pause an upstream gets requests again, and one good answer clears it.
+// Decides which upstreams are ejected for a while, from what attempts saw of them. Nothing is
+// probed: after a growing pause an upstream gets requests again, and one good answer clears it.
+//
+// Inputs: the signs of attempts (AttemptSign) with the times at which they began and ended. Ejected
+// upstreams are passed over by ChooseUpstream as long as there is another one.
 #pragma once
 
 #include "include/base/Time.h"
@@ -9,7 +12,7 @@
 
 namespace onyx {
 
-// What a request saw of an upstream.
+// What an attempt saw of its upstream.
 enum class UpstreamSign : uint8_t {
     kAnswered,     // A whole answer that is not a failure.
     kFailed,       // A whole answer that is a failure of the upstream.
@@ -19,12 +22,16 @@
 
 // All times in milliseconds.
 struct HealthSettings {
+    // The first pause and the longest; each is twice the one before. Choices: short beside a cut,
+    // so that an upstream that is back is found soon, long beside the attempts that it costs.
     Millis firstEjection = 1000;
     Millis maxEjection = 8000;
-    Millis memory = 5000;        // Answers older than this fade out of the failure share.
-    double failedShare = 0.4;    // Above this share of failures an upstream is ejected,
-    double leastFailures = 4.0;  // once it has shown about so many.
-    int leastSilent = 2;         // Silent answers in a row that have the same effect.
+    Millis memory = 5000;      // Answers older than this fade out of the failure share. A choice.
+    double failedShare = 0.4;  // Above this share of failures an upstream is ejected: some that
+                               // fail half of what they run are worse than the others,
+    double minFailures =
+        4.0;            // once it has shown about so many, so that one failure proves nothing.
+    int minSilent = 2;  // Silent answers in a row that have the same effect.
 };
 
 // Not thread safe: one task owns it.
@@ -32,7 +39,7 @@
 public:
     explicit UpstreamHealth(const HealthSettings& settings) : m_settings(settings) {}
 
-    // Takes in what a request saw that was sent at `sent`; true if the upstream is ejected from
+    // Takes in what an attempt saw that began at `sent`; true if the upstream is ejected from
     // now on. Silence proves nothing while the upstream answered others since.
     // Preconditions: sent <= now, which does not fall.
     bool note(const std::string& upstream, UpstreamSign sign, MonoTime sent, MonoTime now);
@@ -55,7 +62,9 @@
     };
 
     void fade(Record& record, MonoTime now) const;
-    bool eject(Record& record, MonoTime now) const;
+    void eject(Record& record, MonoTime now) const;
+    static void noteAnswer(Record& record, MonoTime now);
+    bool provesTrouble(Record& record, UpstreamSign sign) const;
 
     HealthSettings m_settings;
     std::map<std::string, Record> m_records;
--- a/include/net/HttpServer.h
+++ b/include/net/HttpServer.h
@@ -97,16 +97,17 @@
     // The address it listens on. Preconditions: none.
     Endpoint endpoint() const { return m_endpoint; }
 
-    // Accepts no more connections. Preconditions: none.
-    void stopAccepting();
-
     // Requests being answered. Preconditions: none.
     size_t active() const { return m_active; }
 
 private:
     HttpServer(Tcp::acceptor acceptor, const HttpLimits& limits, Handler handler);
     Task<> serve(Tcp::socket socket);
+    // Serves one request; false if the connection ends with it.
     Task<bool> serveOne(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer);
+    Task<bool> awaitFirstByte(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer);
+    Task<> answerUnreadable(HttpExchange& exchange, boost::beast::error_code why);
+    Task<> callHandler(HttpExchange& exchange);
 
     Tcp::acceptor m_acceptor;
     Endpoint m_endpoint;
--- a/include/observe/Metrics.h
+++ b/include/observe/Metrics.h
@@ -35,9 +35,6 @@
     // Adds a sample to a summary (quantiles 0.5, 0.95, 0.99). Preconditions: as for count.
     void observe(std::string_view name, const MetricLabels& labels, double value);
 
-    // A counter's value, 0 if it was never counted. Preconditions: none.
-    uint64_t counter(std::string_view name, const MetricLabels& labels = {}) const;
-
     // Everything, a line each. Preconditions: none.
     std::string text() const;
 
--- a/include/store/StoreWatch.h
+++ b/include/store/StoreWatch.h
@@ -11,6 +11,8 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/core/tcp_stream.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <boost/beast/http/string_body.hpp>
 
 #include <functional>
 #include <memory>
@@ -68,6 +70,7 @@
     void refresh();
 
 private:
+    using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
     struct Answer {
         unsigned status = 0;
         std::string body;
@@ -82,6 +85,7 @@
     Task<> waitWhilePaused();
     Task<> pauseAfterList();
     Task<Result<Answer>> call(std::string target, Millis timeout);
+    Task<boost::beast::error_code> exchange(const std::string& target, Parser& parser);
     Task<Result<bool>> connect();
     void disconnect();
     Error badStatus(const char* step, unsigned status) const;
--- a/src/config/Settings.cpp
+++ b/src/config/Settings.cpp
@@ -125,19 +125,6 @@
     return *value;
 }
 
-bool SettingsReader::flag(std::string_view key, bool otherwise) {
-    m_asked.emplace(key);
-    const auto node = m_document->table.at_path(key);
-    if (!node) {
-        return otherwise;
-    }
-    if (const auto* value = node.as_boolean()) {
-        return value->get();
-    }
-    expect(key, "true or false", TypeName(*node.node()));
-    return otherwise;
-}
-
 std::vector<std::string> SettingsReader::texts(std::string_view key) {
     m_asked.emplace(key);
     std::vector<std::string> values;
--- a/src/gateway/CallerConnection.cpp
+++ b/src/gateway/CallerConnection.cpp
@@ -120,17 +120,21 @@
             return true;
         }
     }
-    if (!parser.is_done()) {
-        return false;
+    if (parser.is_done()) {
+        takeMessage(parser.release(), result);
     }
-    result.end = ReadEnd::kRequest;
-    result.message = parser.release();
-    if (result.message.count(http::field::content_length) > 1 ||
-        result.message.count(http::field::host) != 1) {
-        result.end = ReadEnd::kBad;
+    return parser.is_done();
+}
+
+// A message whose framing callers and upstreams could read differently is no request.
+void CallerConnection::takeMessage(CallerMessage message, ReadRequest& result) {
+    const bool ambiguous =
+        message.count(http::field::content_length) > 1 || message.count(http::field::host) != 1;
+    result.end = ambiguous ? ReadEnd::kBad : ReadEnd::kRequest;
+    if (ambiguous) {
         result.problem = "expected one Host and at most one Content-Length";
     }
-    return true;
+    result.message = std::move(message);
 }
 
 Task<ReadRequest> CallerConnection::read(const CallerLimits& limits) {
--- a/src/health/UpstreamHealth.cpp
+++ b/src/health/UpstreamHealth.cpp
@@ -13,13 +13,12 @@
     record.seen = now;
 }
 
-bool UpstreamHealth::eject(Record& record, MonoTime now) const {
+void UpstreamHealth::eject(Record& record, MonoTime now) const {
     record.pause = record.pause == 0 ? m_settings.firstEjection
                                      : std::min(m_settings.maxEjection, record.pause * 2);
     record.until = now + record.pause;
     record.answered = 0;
     record.failed = 0;
-    return true;
 }
 
 bool UpstreamHealth::note(const std::string& upstream, UpstreamSign sign, MonoTime sent,
@@ -33,28 +32,37 @@
         return false;
     }
     if (sign == UpstreamSign::kAnswered) {
-        record.answered += 1;
-        record.silentInARow = 0;
-        if (now >= record.until) {
-            record.pause = 0;
-        }
+        noteAnswer(record, now);
         return false;
     }
     if (now < record.until) {
-        return false;  // Requests sent before the pause began prove nothing new.
+        return false;  // Attempts that began before the ejection prove nothing new.
     }
     record.failed += 1;
+    if (!provesTrouble(record, sign)) {
+        return false;
+    }
+    eject(record, now);
+    return true;
+}
+
+void UpstreamHealth::noteAnswer(Record& record, MonoTime now) {
+    record.answered += 1;
+    record.silentInARow = 0;
+    if (now >= record.until) {
+        record.pause = 0;
+    }
+}
+
+bool UpstreamHealth::provesTrouble(Record& record, UpstreamSign sign) const {
     if (sign == UpstreamSign::kUnreachable) {
-        return eject(record, now);
+        return true;
     }
-    if (sign == UpstreamSign::kSilent && ++record.silentInARow >= m_settings.leastSilent) {
-        return eject(record, now);
+    if (sign == UpstreamSign::kSilent && ++record.silentInARow >= m_settings.minSilent) {
+        return true;
     }
     const double share = record.failed / (record.failed + record.answered);
-    if (record.failed > m_settings.leastFailures - 0.5 && share > m_settings.failedShare) {
-        return eject(record, now);
-    }
-    return false;
+    return record.failed > m_settings.minFailures - 0.5 && share > m_settings.failedShare;
 }
 
 bool UpstreamHealth::isEjected(const std::string& upstream, MonoTime now) const {
--- a/src/net/HttpServer.cpp
+++ b/src/net/HttpServer.cpp
@@ -17,6 +17,8 @@
 
 namespace {
 
+constexpr size_t kReadSize = 4096;  // Bytes of a connection's first read.
+
 template <class Message>
 void SetHeaders(Message& message, const HttpHeaders& headers, std::string_view contentType) {
     if (!contentType.empty()) {
@@ -136,11 +138,6 @@
     return server;
 }
 
-void HttpServer::stopAccepting() {
-    beast::error_code ec;
-    m_acceptor.close(ec);
-}
-
 Task<> HttpServer::serve(Tcp::socket socket) {
     beast::error_code ec;
     socket.set_option(Tcp::no_delay(true), ec);
@@ -151,21 +148,27 @@
     stream.socket().shutdown(Tcp::socket::shutdown_send, ec);
 }
 
+Task<bool> HttpServer::awaitFirstByte(beast::tcp_stream& stream, beast::flat_buffer& buffer) {
+    if (buffer.size() > 0) {
+        co_return true;
+    }
+    stream.expires_after(std::chrono::milliseconds(m_limits.idleTimeout));
+    beast::error_code ec;
+    const size_t got = co_await stream.async_read_some(
+        buffer.prepare(kReadSize), asio::redirect_error(asio::use_awaitable, ec));
+    buffer.commit(got);
+    co_return !ec;
+}
+
 Task<bool> HttpServer::serveOne(beast::tcp_stream& stream, beast::flat_buffer& buffer) {
+    if (!co_await awaitFirstByte(stream, buffer)) {
+        co_return false;
+    }
     http::request_parser<http::string_body> parser;
     parser.header_limit(static_cast<uint32_t>(m_limits.header));
     parser.body_limit(m_limits.body);
-    beast::error_code ec;
-    if (buffer.size() == 0) {
-        stream.expires_after(std::chrono::milliseconds(m_limits.idleTimeout));
-        const size_t got = co_await stream.async_read_some(
-            buffer.prepare(4096), asio::redirect_error(asio::use_awaitable, ec));
-        buffer.commit(got);
-        if (ec) {
-            co_return false;
-        }
-    }
     stream.expires_after(std::chrono::milliseconds(m_limits.readTimeout));
+    beast::error_code ec;
     co_await http::async_read(stream, buffer, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
     if (ec == http::error::end_of_stream || ec == asio::error::eof) {
@@ -174,16 +177,24 @@
     HttpIncoming request = parser.release();
     HttpExchange exchange(stream, request, m_limits);
     if (ec) {
-        const bool tooLarge = ec == http::error::body_limit || ec == http::error::header_limit;
-        const unsigned status = tooLarge ? 413 : ec == beast::error::timeout ? 408 : 400;
         request.keep_alive(false);
-        const std::string body =
-            R"({"type":"bad-request","title":"the request could not be read: )" + ec.message() +
-            "\"}";
-        const HttpHeaders headers = {{"Onyx-Outcome", "not-run"}};
-        co_await exchange.respond(status, headers, "application/problem+json", body);
+        co_await answerUnreadable(exchange, ec);
         co_return false;
     }
+    co_await callHandler(exchange);
+    co_return exchange.m_complete && !exchange.m_aborted && request.keep_alive();
+}
+
+Task<> HttpServer::answerUnreadable(HttpExchange& exchange, beast::error_code why) {
+    const bool tooLarge = why == http::error::body_limit || why == http::error::header_limit;
+    const unsigned status = tooLarge ? 413 : why == beast::error::timeout ? 408 : 400;
+    const std::string body =
+        R"({"type":"bad-request","title":"the request could not be read: )" + why.message() + "\"}";
+    const HttpHeaders headers = {{"Onyx-Outcome", "not-run"}};
+    co_await exchange.respond(status, headers, "application/problem+json", body);
+}
+
+Task<> HttpServer::callHandler(HttpExchange& exchange) {
     ++m_active;
     try {
         co_await m_handler(exchange);
@@ -192,7 +203,6 @@
         throw;
     }
     --m_active;
-    co_return exchange.m_complete && !exchange.m_aborted && request.keep_alive();
 }
 
 }  // namespace onyx
--- a/src/observe/Metrics.cpp
+++ b/src/observe/Metrics.cpp
@@ -76,11 +76,6 @@
     it->second(value);
 }
 
-uint64_t Metrics::counter(std::string_view name, const MetricLabels& labels) const {
-    const auto it = m_counters.find(SeriesName(name, labels));
-    return it == m_counters.end() ? 0 : it->second;
-}
-
 std::string Metrics::text() const {
     std::string out;
     for (const auto& [series, value] : m_counters) {
--- a/src/store/StoreWatch.cpp
+++ b/src/store/StoreWatch.cpp
@@ -6,9 +6,7 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/beast/http/empty_body.hpp>
-#include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/read.hpp>
-#include <boost/beast/http/string_body.hpp>
 #include <boost/beast/http/write.hpp>
 
 #include <algorithm>
@@ -242,18 +240,11 @@
             co_return connected.error();
         }
     }
-    http::request<http::empty_body> request{http::verb::get, target, 11};
-    request.set(http::field::host, EndpointText(m_settings.store));
     m_stream->expires_after(std::chrono::milliseconds(timeout));
     m_sink.onCall();
-    beast::error_code ec;
-    co_await http::async_write(*m_stream, request, asio::redirect_error(asio::use_awaitable, ec));
-    http::response_parser<http::string_body> parser;
+    Parser parser;
     parser.body_limit(kMaxAnswerBytes);
-    if (!ec) {
-        co_await http::async_read(*m_stream, m_buffer, parser,
-                                  asio::redirect_error(asio::use_awaitable, ec));
-    }
+    const beast::error_code ec = co_await exchange(target, parser);
     if (ec) {
         // An answer that was lost may still come: nothing more is read from this connection.
         disconnect();
@@ -267,4 +258,16 @@
     co_return answer;
 }
 
+Task<beast::error_code> StoreWatch::exchange(const std::string& target, Parser& parser) {
+    http::request<http::empty_body> request{http::verb::get, target, 11};
+    request.set(http::field::host, EndpointText(m_settings.store));
+    beast::error_code ec;
+    co_await http::async_write(*m_stream, request, asio::redirect_error(asio::use_awaitable, ec));
+    if (!ec) {
+        co_await http::async_read(*m_stream, m_buffer, parser,
+                                  asio::redirect_error(asio::use_awaitable, ec));
+    }
+    co_return ec;
+}
+
 }  // namespace onyx
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -106,6 +106,17 @@
     CHECK(refusal->retryAfter == Millis{0});
 }
 
+TEST_CASE("Each reason to refuse has its answer") {
+    for (int i = 0; i <= static_cast<int>(RefusalReason::kUnclear); ++i) {
+        const Refusal refusal = MakeRefusal(static_cast<RefusalReason>(i), "detail");
+        CHECK(static_cast<int>(refusal.reason) == i);
+        CHECK(refusal.status >= 400);
+        CHECK_FALSE(refusal.text.empty());
+        // Only a request that cannot have run is answered with a time to retry.
+        CHECK((refusal.status == 503) == refusal.retryAfter.has_value());
+    }
+}
+
 TEST_CASE("A caller is told when to retry only where its request did not run") {
     for (const auto reason : {RefusalReason::kTimedOut, RefusalReason::kUnclear}) {
         CHECK_FALSE(MakeRefusal(reason).retryAfter.has_value());
