--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -5,9 +5,10 @@
 // upstreams were listed once; whether this box still takes requests. Asked when a request arrives
 // and again before each further attempt, so that none is sent by what is no longer in force.
 //
-// The rule: only a box that knows may say that a route or a key does not exist. One that knows too
+// The rule: only a box that knows may say that a route or a credential does not
+// exist. One that knows too
 // little, or whose knowledge is too old by the StalenessPolicy, refuses with 503. Routes that need
-// no key are served on a configuration of any age.
+// no credential are served on a configuration of any age.
 #pragma once
 
 #include "include/admission/Refusal.h"
@@ -39,7 +40,7 @@
 struct AdmissionRequest {
     std::string_view host;
     std::string_view target;
-    std::string_view key;                 // The team's key; empty if there is none.
+    std::string_view credential;          // Stands for the team; empty if there is none.
     std::optional<Millis> clientTimeout;  // How long the caller waits.
     MonoTime arrived;
     uint64_t draw = 0;  // A random number: which of a route's weighted services it is for.
@@ -67,7 +68,7 @@
 // while its connection opened. Preconditions: none. Thread safety: any thread.
 bool MaySend(const AdmissionRules& rules, const Route& route, std::optional<Millis> catalogAge);
 
-// Whether a box that knows this admits requests with a key: it may call itself ready.
+// Whether a box that knows this admits requests with a credential: it may call itself ready.
 // Preconditions: none. Thread safety: any thread.
 bool KnowsEnough(const AdmissionRules& rules, const AdmissionKnowledge& knowledge);
 
--- a/include/admission/Refusal.h
+++ b/include/admission/Refusal.h
@@ -15,18 +15,18 @@
 
 // Why a box answers a request by itself.
 enum class RefusalReason : uint8_t {
-    kBadHead,              // A header of the request cannot be read.
-    kNoRequestId,          // It has no id, so its answers could not be told apart.
-    kDraining,             // This box is about to end.
-    kNoConfiguration,      // This box has just started and knows too little yet.
-    kConfigurationTooOld,  // See StalenessPolicy.
-    kRouteUnknownYet,      // No such route, but the configuration is stale: it may exist by now.
-    kKeyUnknownYet,        // The same for the team's key.
-    kNoRoute,              // The route does not exist.
-    kUnknownKey,           // The team's key does not exist.
-    kNoUpstream,           // No upstream took the request, and none ran it.
-    kTimedOut,             // The last attempt ran out of time; the request may have run.
-    kUnclear,              // The last attempt ended in another way; the request may have run.
+    kBadHead,               // A header of the request cannot be read.
+    kNoRequestId,           // It has no id, so its answers could not be told apart.
+    kDraining,              // This box is about to end.
+    kNoConfiguration,       // This box has just started and knows too little yet.
+    kConfigurationTooOld,   // See StalenessPolicy.
+    kRouteUnknownYet,       // No such route, but the configuration is stale: it may exist by now.
+    kCredentialUnknownYet,  // The same for the credential.
+    kNoRoute,               // The route does not exist.
+    kUnknownCredential,     // The credential stands for no team.
+    kNoUpstream,            // No upstream took the request, and none ran it.
+    kTimedOut,              // The last attempt ran out of time; the request may have run.
+    kUnclear,               // The last attempt ended in another way; the request may have run.
 };
 
 // An answer of this box's own.
--- a/include/dialect/Dialect.h
+++ b/include/dialect/Dialect.h
@@ -25,7 +25,7 @@
 // What the gateway needs to know of a caller's request, besides method, target and host.
 struct CallerFacts {
     std::string id;
-    std::string key;                       // The team's key; empty if there is none.
+    std::string credential;                // Stands for the team; empty if there is none.
     std::optional<Millis> clientTimeout;   // How long the caller waits.
     std::vector<std::string> sharedParts;  // Of the prompt, in its order; its own part is left out.
     int64_t promptTokens = 0;
@@ -33,7 +33,7 @@
 };
 
 // What the gateway sets on a request to an upstream.
-struct UpstreamOrder {
+struct UpstreamRequest {
     std::string upstreamId;
     Millis timeLeft = 0;
     std::string team;                     // Empty: none.
@@ -63,9 +63,9 @@
     // Preconditions: none.
     virtual Result<CallerFacts> readCaller(const RequestHead& head) const = 0;
 
-    // Takes out of `fields` what a caller may not set, and sets what the order says.
+    // Takes out of `fields` what a caller may not set, and sets what `request` says.
     // Preconditions: `fields` are a copy of the caller's.
-    virtual void writeOrder(HttpFields& fields, const UpstreamOrder& order) const = 0;
+    virtual void writeUpstreamRequest(HttpFields& fields, const UpstreamRequest& request) const = 0;
 
     // Reads the head of an upstream's answer. Preconditions: none.
     virtual UpstreamFacts readUpstream(const ResponseHead& head) const = 0;
--- a/include/freshness/KnowledgeAge.h
+++ b/include/freshness/KnowledgeAge.h
@@ -31,12 +31,12 @@
 
 // How long a box holds its next watch, between half of `most` and `most`. A change ends the watches
 // of all boxes at the same moment; were the next ones equally long, all boxes' knowledge would be
-// equally old ever after, and when the store falls silent no box could tell the others anything
-// newer than they know. `point`: any number, such as a random one.
+// equally old ever after, and when the store falls silent no box would have anything newer
+// than the others. `draw`: a random number.
 // Preconditions: most >= 0. Thread safety: any thread.
-inline Millis StaggeredWait(Millis most, uint64_t point) {
+inline Millis StaggeredWait(Millis most, uint64_t draw) {
     const Millis half = most / 2;
-    return most - static_cast<Millis>(point % static_cast<uint64_t>(half + 1));
+    return most - static_cast<Millis>(draw % static_cast<uint64_t>(half + 1));
 }
 
 // Not thread safe: one task owns it.
--- a/include/freshness/PeerKnowledge.h
+++ b/include/freshness/PeerKnowledge.h
@@ -1,7 +1,7 @@
 // Knowledge from other boxes, by question and answer: while the store does not answer this box, a
 // box that it does answer may say how old its own knowledge is.
 //
-// An answer counts from when the question was sent, less the age that it tells. A message that
+// An answer counts from when the question was sent, less the age that it reports. A message that
 // nobody asked for proves nothing: it may have been on its way for any time.
 //
 // Most questions ask for ages and revisions only. What is newer somewhere is fetched from one box
@@ -22,8 +22,8 @@
 // Not thread safe: one task owns it.
 class PeerKnowledge {
 public:
-    static constexpr size_t kMostRounds = 64;  // Questions that still may be answered.
-    static constexpr size_t kMostAsked = 8;    // Boxes that are asked in one round.
+    static constexpr size_t kMaxRounds = 64;  // Questions that still may be answered.
+    static constexpr size_t kMaxAsked = 8;    // Boxes that are asked in one round.
     // A box that was asked for more than ages and has not answered for this long is given up on.
     static constexpr Millis kFetchTimeout = 1000;
 
@@ -31,7 +31,7 @@
     uint64_t ask(MonoTime now);
 
     // As of when this box knows what the answering box knew, or nothing if the answer belongs to
-    // no question or tells no age. Preconditions: none.
+    // no question or reports no age. Preconditions: none.
     std::optional<MonoTime> answered(uint64_t round, Millis age) const;
 
     // The boxes to ask in the next round: all of a few, else some of them in turn.
--- a/include/freshness/StalenessPolicy.h
+++ b/include/freshness/StalenessPolicy.h
@@ -3,7 +3,7 @@
 // A key that operators take away is to stop working within a bound. Where that bound is strict, a
 // box that cannot learn of a revocation refuses every key. Where it is not, callers are better
 // served on the last known configuration: the price is that a revoked key may pass on a box that is
-// cut off, for at most `mostAge`.
+// cut off, for at most `maxAge`.
 #pragma once
 
 #include "include/base/Time.h"
@@ -17,11 +17,11 @@
 // Keys are refused as soon as the configuration is stale.
 struct RefuseStale {};
 
-// Keys pass on a stale configuration until it is older than `mostAge`, in milliseconds.
+// Keys pass on a stale configuration until it is older than `maxAge`, in milliseconds.
 struct ServeStale {
     // A choice: longer than a store is usually away, shorter than a shift of operators.
-    static constexpr Millis kDefaultMostAge = 600000;
-    Millis mostAge = kDefaultMostAge;
+    static constexpr Millis kDefaultMaxAge = 600000;
+    Millis maxAge = kDefaultMaxAge;
 };
 
 using StalenessPolicy = std::variant<RefuseStale, ServeStale>;
--- a/include/freshness/WatchDelegation.h
+++ b/include/freshness/WatchDelegation.h
@@ -1,9 +1,11 @@
-// Which boxes of a zone watch the store, and which ask one of those instead. Watches of every box
+// Decides which boxes of a zone watch the store, and which ask one of those instead. Inputs: the
+// boxes of the zone in their common order, the links that stand, the ages that watchers report.
+// Watches of every box
 // would make a store's calls grow with the boxes; a few of each zone watch, and the others follow.
 //
 // Nothing is agreed on. Each box orders the boxes of its zone alike as far as it knows the same
 // ones; the first few are its watchers. A follower counts on nothing but the age that its watcher
-// tells: as soon as that grows, the watcher is silent, or it does not watch, the follower watches
+// reports: as soon as that grows, the watcher is silent, or it does not watch, the follower watches
 // by itself for a while. So two boxes that order differently cost a few calls, never a stale list.
 #pragma once
 
@@ -23,9 +25,9 @@
 // All times in milliseconds.
 struct WatchDelegationSettings {
     size_t boxesPerWatcher = 32;
-    size_t leastBoxes = 5;  // In a zone of fewer, every box watches.
-    Millis mostAge = 1200;  // A follower with older knowledge watches by itself,
-    Millis alone = 10000;   // for at least this long.
+    size_t minBoxes = 5;   // In a zone of fewer, every box watches.
+    Millis maxAge = 1200;  // A follower with older knowledge watches by itself,
+    Millis alone = 10000;  // for at least this long.
     // A watcher to which no link comes about for this long is gone: three periods of dialing.
     Millis linkTime = 1500;
 };
@@ -56,15 +58,15 @@
     // Preconditions: none.
     bool isWatcher() const { return m_isWatcher; }
 
-    // Takes in what `from` replied. Until it has told fresh knowledge once, it is asked on.
-    // Preconditions: none.
+    // Takes in what `from` replied. Until it has once reported an age that is fresh, it is asked
+    // on. Preconditions: none.
     void replied(std::string_view from, const WatcherReply& reply, MonoTime now);
 
     // Takes in how old this box's knowledge is by now; nothing if it lacks some.
     // Preconditions: as for choose().
     void noteAge(std::optional<Millis> age, MonoTime now);
 
-    // Whether the box that choose() named tells what the store would. Preconditions: none.
+    // Whether the box that choose() named takes the place of the store. Preconditions: none.
     bool following() const { return m_following; }
 
 private:
--- a/include/gateway/Attempt.h
+++ b/include/gateway/Attempt.h
@@ -40,7 +40,7 @@
 private:
     Task<RelayEnd> exchange();
     Task<bool> connect();
-    std::string orderText() const;
+    std::string requestText() const;
     MonoTime firstByteDeadline() const;
     MonoTime nextPieceDeadline() const;
     void learnFromHead();
--- a/include/gateway/ConnectionReport.h
+++ b/include/gateway/ConnectionReport.h
@@ -1,4 +1,4 @@
-// What the log tells of the connection that an attempt used.
+// What the log says of the connection that an attempt used.
 #pragma once
 
 #include "include/base/Time.h"
--- a/include/gateway/Gateway.h
+++ b/include/gateway/Gateway.h
@@ -9,7 +9,7 @@
 //   PeerMesh            the links to other boxes
 //   PeerSync            whom this box follows and what it asks other boxes
 //   CallerServer        callers' connections
-//   StatusServer        what the balancer and the operators are told
+//   StatusServer        readiness for the balancer, metrics for the operators
 #pragma once
 
 #include "include/gateway/CallerServer.h"
--- a/include/gateway/GatewaySettings.h
+++ b/include/gateway/GatewaySettings.h
@@ -25,7 +25,7 @@
     Endpoint metrics;             // HTTP for /metrics.
     Endpoint store;               // The object store.
     std::vector<Endpoint> seeds;  // Boxes to meet the others through.
-    int64_t digestBudget = 4000;  // Bytes a second for what this box tells the others.
+    int64_t digestBudget = 4000;  // Bytes a second for what this box announces to the others.
     std::string logLevel = "info";
 
     AdmissionRules admission;
--- a/include/gateway/HttpText.h
+++ b/include/gateway/HttpText.h
@@ -13,11 +13,11 @@
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 // Takes out the headers that concern one connection only, those that `Connection` names included,
-// and those that tell a body's length. Preconditions: none. Thread safety: any thread.
+// and those that give a body's length. Preconditions: none. Thread safety: any thread.
 void DropConnectionHeaders(HttpFields& fields);
 
 // A request with the caller's method, target and body, and these headers.
-// Preconditions: the headers tell no length. Thread safety: any thread.
+// Preconditions: the headers give no length. Thread safety: any thread.
 std::string RequestText(const CallerMessage& message, const HttpFields& fields);
 
 // A whole answer with an upstream's status. Preconditions and thread safety as above.
--- a/include/gateway/UpstreamExchange.h
+++ b/include/gateway/UpstreamExchange.h
@@ -64,7 +64,7 @@
     bool unreachable() const { return m_unreachable; }
     // What the connection was and how it ended. Preconditions: finish() was called.
     const ConnectionReport& connection() const { return m_report; }
-    // Whether the answer's length is told by its head. Preconditions: as for head().
+    // The length of the answer's body, if its head has it. Preconditions: as for head().
     std::optional<uint64_t> length() const;
 
 private:
--- a/include/observe/Metrics.h
+++ b/include/observe/Metrics.h
@@ -24,7 +24,7 @@
 // Not thread safe: one io_context.
 class Metrics {
 public:
-    static constexpr size_t kMostSeries = 20000;  // Further label sets are counted as "other".
+    static constexpr size_t kMaxSeries = 20000;  // Further label sets are counted as "other".
 
     // Adds `n` to a counter. Preconditions: `name` in the common form of metric names.
     void count(std::string_view name, const MetricLabels& labels = {}, uint64_t n = 1);
--- a/include/placement/PeerCounts.h
+++ b/include/placement/PeerCounts.h
@@ -28,14 +28,14 @@
     // Forgets the digests that are no longer believed. Preconditions: times do not fall.
     void expire(MonoTime now);
 
-    // The part of the other boxes that tell this one; the rest is taken to be like them. A small
-    // site tells all. Preconditions: 0 < share <= 1.
+    // The part of the other boxes that announce their counts here; the others are taken to be like
+    // them. In a small site all do. Preconditions: 0 < share <= 1.
     void setShare(double share) { m_share = share; }
 
-    // Whether some of the other boxes tell nothing here. Preconditions: none.
+    // Whether some of the other boxes announce nothing here. Preconditions: none.
     bool isSample() const { return m_share < 1; }
 
-    // Requests that the other boxes have in flight at `upstream`, those that tell nothing here
+    // Requests that the other boxes have in flight at `upstream`, those that announce nothing here
     // included. Preconditions: none.
     int at(const std::string& upstream) const;
 
@@ -51,7 +51,7 @@
     void subtract(const Counts& counts);
 
     std::map<std::string, Digest> m_boxes;
-    std::unordered_map<uint32_t, int> m_sums;  // Over all boxes that tell.
+    std::unordered_map<uint32_t, int> m_sums;  // Over all boxes that announce.
     double m_share = 1;
 };
 
--- a/include/placement/UpstreamLoads.h
+++ b/include/placement/UpstreamLoads.h
@@ -1,5 +1,5 @@
 // How loaded each upstream is, as far as this box can tell: its own requests there, and what the
-// upstream's answers tell of all boxes' requests.
+// upstream's answers report of all boxes' requests.
 #pragma once
 
 #include "include/base/Hash.h"
@@ -15,7 +15,9 @@
 // Not thread safe: one task owns it.
 class UpstreamLoads {
 public:
-    static constexpr Millis kReportAge = 1000;  // What an answer told counts for this long.
+    // In milliseconds. A reported load counts for this long: some runs of a short request. A
+    // choice.
+    static constexpr Millis kReportAge = 1000;
 
     // Counts a request that is sent to `upstream`. Preconditions: none.
     void enter(const std::string& upstream) { ++m_records[upstream].own; }
@@ -28,7 +30,7 @@
         }
     }
 
-    // Takes in the load that an answer told. Preconditions: none.
+    // Takes in the load that an answer reports. Preconditions: none.
     void noteReportedLoad(const std::string& upstream, int load, MonoTime now) {
         Record& record = m_records[upstream];
         record.foreign = std::max(0, load - record.own);
--- a/include/relay/EventStream.h
+++ b/include/relay/EventStream.h
@@ -20,19 +20,19 @@
 class EventStream {
 public:
     // An event longer than this is passed on in pieces without an id.
-    static constexpr size_t kMostEventBytes = size_t{1} << 20;
+    static constexpr size_t kMaxEventBytes = size_t{1} << 20;
 
     // Takes in bytes and returns the events that they complete. Preconditions: none.
     std::vector<StreamEvent> feed(std::string_view bytes);
 
     // Bytes of an event that is not complete. Preconditions: none.
-    std::string_view rest() const { return m_rest; }
+    std::string_view incomplete() const { return m_incomplete; }
 
     // Drops what is left of an event that broke off. Preconditions: none.
-    void reset() { m_rest.clear(); }
+    void reset() { m_incomplete.clear(); }
 
 private:
-    std::string m_rest;
+    std::string m_incomplete;
 };
 
 }  // namespace onyx
--- a/include/routing/Catalog.h
+++ b/include/routing/Catalog.h
@@ -1,5 +1,5 @@
-// One configuration as the gateway uses it: routes by host and path, the teams' keys, the limits
-// for callers. Immutable once made; a newer configuration is another Catalog.
+// One configuration as the gateway uses it: routes by host and path, the teams' credentials, the
+// limits for callers. Immutable once made; a newer configuration is another Catalog.
 #pragma once
 
 #include "include/base/Ids.h"
@@ -31,7 +31,7 @@
     bool repeatable = false;  // It may run more than once.
     bool stream = false;      // Its answer is a stream of events.
     bool resumable = false;   // A broken stream may go on at another upstream.
-    bool open = false;        // It needs no team's key.
+    bool open = false;        // It needs no credential.
     Millis timeout = 30000;   // Longest that a request is held.
     Millis objective = 1000;  // The answer (streams: the first event) is wanted within this.
     int priority = 5;         // 0 is the most urgent.
@@ -45,8 +45,8 @@
     bool fetchesCache = false;  // Its upstreams can fetch cached prompts from each other.
 };
 
-// The team that a key stands for.
-struct TeamKey {
+// The team that a credential (an API key, a token) stands for.
+struct Credential {
     TeamId team;
     std::optional<int> priority;  // Goes before the route's.
 };
@@ -64,8 +64,8 @@
     uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<ServiceSpec> services;
-    std::unordered_map<std::string, TeamKey> keys;
-    bool hasTeams = false;  // Requests need a key, but for open routes.
+    std::unordered_map<std::string, Credential> credentials;
+    bool hasTeams = false;  // Requests need a credential, but for open routes.
     CallerLimits limits;
 };
 
@@ -79,15 +79,15 @@
     // or nullptr. Preconditions: none.
     const Route* findRoute(std::string_view host, std::string_view path) const;
 
-    // The team of a key, or nullptr. Preconditions: none.
-    const TeamKey* findKey(std::string_view key) const;
+    // What a credential stands for, or nullptr. Preconditions: none.
+    const Credential* findCredential(std::string_view name) const;
 
     // What is known of a service, or nullptr. Preconditions: none.
     const ServiceSpec* findService(const ServiceId& service) const;
 
     // Number of the configuration. Preconditions: none.
     uint64_t version() const { return m_parts.version; }
-    // Whether requests need a key. Preconditions: none.
+    // Whether requests need a credential. Preconditions: none.
     bool hasTeams() const { return m_parts.hasTeams; }
     const CallerLimits& limits() const { return m_parts.limits; }
     size_t routeCount() const { return m_parts.routes.size(); }
@@ -100,8 +100,8 @@
     std::unordered_map<std::string, const ServiceSpec*> m_services;
 };
 
-// Picks one of the route's services by weight. `point` is any number, such as a random one.
+// Picks one of the route's services by weight. `draw` is a random number.
 // Preconditions: the route has a service. Thread safety: any thread.
-const ServiceId& PickService(const Route& route, uint64_t point);
+const ServiceId& PickService(const Route& route, uint64_t draw);
 
 }  // namespace onyx
--- a/include/routing/UpstreamTable.h
+++ b/include/routing/UpstreamTable.h
@@ -1,5 +1,5 @@
 // The upstreams that exist, as the store lists them, and what changed since any of its revisions,
-// so that boxes can tell each other changes in place of the whole list.
+// so that boxes can pass on changes in place of the whole list.
 #pragma once
 
 #include "include/base/Ids.h"
@@ -20,8 +20,8 @@
     ServiceId service;
     std::string address;  // "ip:port".
     ZoneId zone;
-    bool leaving = false;  // It gets no new work.
-    int slots = 1;         // Requests that it works on at once.
+    bool draining = false;  // It gets no new work.
+    int slots = 1;          // Requests that it works on at once.
     friend bool operator==(const Upstream&, const Upstream&) = default;
 };
 
@@ -73,7 +73,7 @@
     const std::map<std::string, Entry>& all() const { return m_entries; }
 
 private:
-    static constexpr size_t kMostRemoved = 1000;  // Remembered of those taken out.
+    static constexpr size_t kMaxRemoved = 1000;  // Remembered of those taken out.
 
     struct Removed {
         std::string id;
--- a/include/wire/FrameCodec.h
+++ b/include/wire/FrameCodec.h
@@ -12,11 +12,11 @@
 
 inline constexpr uint32_t kWireVersion = 1;
 inline constexpr size_t kFrameHeaderSize = 4;  // Length of the rest, little endian.
-inline constexpr size_t kMostFrameSize =
+inline constexpr size_t kMaxFrameSize =
     size_t{8} * 1024 * 1024;  // Larger frames break the protocol.
 
 // Wraps a message of the schema (such as wire::DigestT) and encodes it with its length.
-// Preconditions: the message encodes to at most kMostFrameSize. Thread safety: any thread.
+// Preconditions: the message encodes to at most kMaxFrameSize. Thread safety: any thread.
 std::string EncodeFrame(const wire::BodyUnion& body);
 
 // Encodes one message of the schema. Preconditions and thread safety as above.
--- a/include/wire/FrameLink.h
+++ b/include/wire/FrameLink.h
@@ -16,7 +16,7 @@
 // A greeted link. Not thread safe: one io_context. Lives until closed; hold it by shared_ptr.
 class FrameLink : public std::enable_shared_from_this<FrameLink> {
 public:
-    static constexpr size_t kMostQueuedBytes =
+    static constexpr size_t kMaxQueuedBytes =
         size_t{64} * 1024 * 1024;  // A peer that does not read.
     static constexpr Millis kGreetingTimeout = 3000;
 
--- a/modules/standalone/include/membership/PromiseBook.h
+++ b/modules/standalone/include/membership/PromiseBook.h
@@ -48,7 +48,7 @@
     void endWithholding() { m_withheld.clear(); }
 
 private:
-    static constexpr size_t kMostRounds = 16;
+    static constexpr size_t kMaxRounds = 16;
 
     Millis m_length;
     Millis m_drift;
--- a/modules/standalone/src/membership/PromiseBook.cpp
+++ b/modules/standalone/src/membership/PromiseBook.cpp
@@ -15,7 +15,7 @@
 
 uint64_t PromiseBook::startRound(MonoTime now) {
     m_rounds[++m_lastRound] = now;
-    if (m_rounds.size() > kMostRounds) {
+    if (m_rounds.size() > kMaxRounds) {
         m_rounds.erase(m_rounds.begin());
     }
     return m_lastRound;
--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -10,18 +10,19 @@
     return JudgeStaleness(rules.staleness, rules.freshLimit, catalogAge);
 }
 
-// Finds the team of the request's key, and its priority; or why there is none.
+// Finds the team of the request's credential, and its priority; or why there is none.
 std::optional<RefusalReason> FindTeam(std::string_view name, Admission& admission) {
     admission.priority = admission.route->priority;
     if (!admission.catalog->hasTeams() || admission.route->open) {
         return std::nullopt;
     }
-    const TeamKey* key = admission.catalog->findKey(name);
-    if (key == nullptr) {
-        return admission.stale ? RefusalReason::kKeyUnknownYet : RefusalReason::kUnknownKey;
+    const Credential* credential = admission.catalog->findCredential(name);
+    if (credential == nullptr) {
+        return admission.stale ? RefusalReason::kCredentialUnknownYet
+                               : RefusalReason::kUnknownCredential;
     }
-    admission.team = key->team;
-    admission.priority = key->priority.value_or(admission.priority);
+    admission.team = credential->team;
+    admission.priority = credential->priority.value_or(admission.priority);
     return std::nullopt;
 }
 
@@ -49,7 +50,7 @@
         return MakeRefusal(admission.stale ? RefusalReason::kRouteUnknownYet
                                            : RefusalReason::kNoRoute);
     }
-    if (const auto reason = FindTeam(request.key, admission)) {
+    if (const auto reason = FindTeam(request.credential, admission)) {
         return MakeRefusal(*reason);
     }
     admission.service = PickService(*route, request.draw);
--- a/src/freshness/PeerKnowledge.cpp
+++ b/src/freshness/PeerKnowledge.cpp
@@ -4,7 +4,7 @@
 
 uint64_t PeerKnowledge::ask(MonoTime now) {
     m_asked[++m_round] = now;
-    if (m_asked.size() > kMostRounds) {
+    if (m_asked.size() > kMaxRounds) {
         m_asked.erase(m_asked.begin());
     }
     return m_round;
@@ -19,14 +19,14 @@
 }
 
 std::vector<std::string> PeerKnowledge::nextAsked(const std::vector<std::string>& peers) {
-    if (peers.size() <= kMostAsked) {
+    if (peers.size() <= kMaxAsked) {
         return peers;
     }
     std::vector<std::string> asked;
-    for (size_t i = 0; i < kMostAsked; ++i) {
+    for (size_t i = 0; i < kMaxAsked; ++i) {
         asked.push_back(peers[(m_turn + i) % peers.size()]);
     }
-    m_turn = (m_turn + kMostAsked) % peers.size();
+    m_turn = (m_turn + kMaxAsked) % peers.size();
     return asked;
 }
 
--- a/src/freshness/StalenessPolicy.cpp
+++ b/src/freshness/StalenessPolicy.cpp
@@ -19,7 +19,7 @@
     Staleness operator()(const RefuseStale&) const { return Staleness::kUnusable; }
 
     Staleness operator()(const ServeStale& policy) const {
-        return age <= policy.mostAge ? Staleness::kStale : Staleness::kUnusable;
+        return age <= policy.maxAge ? Staleness::kStale : Staleness::kUnusable;
     }
 };
 
--- a/src/freshness/WatchDelegation.cpp
+++ b/src/freshness/WatchDelegation.cpp
@@ -24,7 +24,7 @@
 std::vector<std::string> WatchDelegation::watchersOf(std::span<const std::string> zoneOrder) const {
     std::vector<std::string> watchers;
     const size_t boxes = zoneOrder.size();
-    if (boxes < m_settings.leastBoxes) {
+    if (boxes < m_settings.minBoxes) {
         return watchers;
     }
     const size_t wanted = (boxes + m_settings.boxesPerWatcher - 1) / m_settings.boxesPerWatcher;
@@ -82,7 +82,7 @@
     if (from != m_watcher || m_watcher.empty()) {
         return;
     }
-    const bool fresh = reply.watches && reply.age && *reply.age <= m_settings.mostAge;
+    const bool fresh = reply.watches && reply.age && *reply.age <= m_settings.maxAge;
     if (m_following && !fresh) {
         watchAlone(now);
         return;
@@ -91,7 +91,7 @@
 }
 
 void WatchDelegation::noteAge(std::optional<Millis> age, MonoTime now) {
-    if (m_following && (!age || *age > m_settings.mostAge)) {
+    if (m_following && (!age || *age > m_settings.maxAge)) {
         watchAlone(now);
     }
 }
--- a/src/gateway/AnswerRelay.cpp
+++ b/src/gateway/AnswerRelay.cpp
@@ -96,7 +96,7 @@
     while (true) {
         const MonoTime until = m_headSent ? deadlines.next() : deadlines.first();
         const AnswerRead end = co_await exchange.read(piece, until);
-        if (end == AnswerRead::kComplete && stream.rest().empty()) {
+        if (end == AnswerRead::kComplete && stream.incomplete().empty()) {
             const bool begun = m_headSent || co_await sendHead(exchange.head());
             co_return RelayEnd{begun ? AttemptEnd::kAnswered : AttemptEnd::kStreamBroken, false};
         }
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -45,7 +45,7 @@
         m_context.retries.countFirst(admission.service, m_start);
     }
     m_context.log.sent(admission.service);
-    std::string text = orderText();
+    std::string text = requestText();
     const MonoTime until = firstByteDeadline();
     const AnswerRead head = co_await m_exchange->send(std::move(text), until);
     if (head != AnswerRead::kPart) {
@@ -69,19 +69,19 @@
     co_return connected.has_value() && !m_caller.gone() && MaySend(settings.admission, route, age);
 }
 
-std::string Attempt::orderText() const {
+std::string Attempt::requestText() const {
     const Admission& admission = m_request.admission;
-    UpstreamOrder order;
-    order.upstreamId = m_place.upstream.id;
-    order.timeLeft = admission.deadline - ReadClocks().mono;
-    order.team = admission.team.value;
-    order.priority = admission.priority;
-    order.resumeAfter = m_relay.headSent() ? m_relay.lastEvent() : std::nullopt;
-    order.model = admission.spec != nullptr && admission.spec->model;
-    order.fetchFrom = m_place.source ? m_place.source->upstream.address : std::string();
+    UpstreamRequest request;
+    request.upstreamId = m_place.upstream.id;
+    request.timeLeft = admission.deadline - ReadClocks().mono;
+    request.team = admission.team.value;
+    request.priority = admission.priority;
+    request.resumeAfter = m_relay.headSent() ? m_relay.lastEvent() : std::nullopt;
+    request.model = admission.spec != nullptr && admission.spec->model;
+    request.fetchFrom = m_place.source ? m_place.source->upstream.address : std::string();
     HttpFields fields(m_request.message.base());
     DropConnectionHeaders(fields);
-    m_context.dialect.writeOrder(fields, order);
+    m_context.dialect.writeUpstreamRequest(fields, request);
     return RequestText(m_request.message, fields);
 }
 
--- a/src/gateway/GatewaySettings.cpp
+++ b/src/gateway/GatewaySettings.cpp
@@ -27,10 +27,10 @@
 
 StalenessPolicy ReadStaleness(SettingsReader& reader, Millis freshLimit) {
     const std::string name = reader.text("store.stale_keys", "refuse");
-    const Millis mostAge =
-        reader.number("store.stale_limit_ms", ServeStale::kDefaultMostAge, freshLimit, kDay);
+    const Millis maxAge =
+        reader.number("store.stale_limit_ms", ServeStale::kDefaultMaxAge, freshLimit, kDay);
     if (name == "serve") {
-        return ServeStale{mostAge};
+        return ServeStale{maxAge};
     }
     if (name != "refuse") {
         reader.reject("store.stale_keys", "refuse or serve", name);
@@ -55,14 +55,13 @@
     pacing.pausePerBox = reader.number("store.rest_ms_per_box", 8, 0, 1000);
     const Millis drainBound = reader.number("store.leaving_bound_ms", 2000, 0, kDay);
     const FollowerBounds bounds = FitFollowers(drainBound, pacing);
-    delegation.mostAge = bounds.maxAge;
+    delegation.maxAge = bounds.maxAge;
     delegation.boxesPerWatcher =
         static_cast<size_t>(reader.number("followers.boxes_per_watcher", 32, 1, 100000));
-    delegation.leastBoxes =
-        static_cast<size_t>(reader.number("followers.least_boxes", 5, 2, 100000));
+    delegation.minBoxes = static_cast<size_t>(reader.number("followers.least_boxes", 5, 2, 100000));
     delegation.alone = reader.number("followers.alone_ms", delegation.alone, 0, kDay);
     if (!bounds.leavesTime) {
-        delegation.leastBoxes = std::numeric_limits<size_t>::max();  // Every box watches.
+        delegation.minBoxes = std::numeric_limits<size_t>::max();  // Every box watches.
     }
 }
 
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -20,7 +20,7 @@
     entry->service = upstream.service.value;
     entry->address = upstream.address;
     entry->zone = upstream.zone.value;
-    entry->leaving = upstream.leaving;
+    entry->leaving = upstream.draining;
     entry->slots = upstream.slots;
     return entry;
 }
@@ -249,7 +249,7 @@
 
 bool PeerSync::inSmallZone() const {
     const bool discovered = ReadClocks().mono - m_started >= kDiscoveryTime;
-    return discovered && m_mesh.zoneOrder().size() < m_settings.delegation.leastBoxes;
+    return discovered && m_mesh.zoneOrder().size() < m_settings.delegation.minBoxes;
 }
 
 bool PeerSync::isFollowed() const {
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -47,8 +47,9 @@
 // no longer in force. A refusal leaves the admission before it as it is.
 std::optional<Refusal> RequestHandler::admit() {
     const MonoTime now = ReadClocks().mono;
-    const AdmissionRequest request{m_message[http::field::host], m_message.target(), m_facts.key,
-                                   m_facts.clientTimeout,        m_arrived,          m_draw};
+    const AdmissionRequest request{
+        m_message[http::field::host], m_message.target(), m_facts.credential,
+        m_facts.clientTimeout,        m_arrived,          m_draw};
     const AdmissionKnowledge knowledge =
         KnowledgeOf(m_context.configuration, m_context.upstreams, m_context.lifecycle, now);
     auto decided = Admit(m_context.settings.admission, knowledge, request);
--- a/src/gateway/UpstreamExchange.cpp
+++ b/src/gateway/UpstreamExchange.cpp
@@ -118,7 +118,7 @@
 
 void UpstreamExchange::startKeepAlive() {
     Tcp::socket& socket = m_connection->stream.socket();
-    // A connection that takes no option has ended, which the pending read tells.
+    // A connection that takes no option has ended, which the pending read finds.
     m_keepAliveOn = !StartKeepAlive(socket, kKeepAliveIdle, kKeepAliveCount);
 }
 
@@ -225,8 +225,8 @@
 }
 
 std::optional<uint64_t> UpstreamExchange::length() const {
-    const auto told = m_parser->content_length();
-    return told ? std::optional<uint64_t>(*told) : std::nullopt;
+    const auto length = m_parser->content_length();
+    return length ? std::optional<uint64_t>(*length) : std::nullopt;
 }
 
 // The first end counts: a connection that has ended is closed afterwards too.
@@ -258,7 +258,7 @@
 // Gives the connection to the pool; false if it is not fit for that.
 bool UpstreamExchange::keep() {
     const Upstream* upstream = m_context.upstreams.table().find(m_upstream.id);
-    if (!isClean() || upstream == nullptr || upstream->leaving) {
+    if (!isClean() || upstream == nullptr || upstream->draining) {
         return false;
     }
     if (m_keepAliveOn && StopKeepAlive(m_connection->stream.socket())) {
--- a/src/gateway/UpstreamState.cpp
+++ b/src/gateway/UpstreamState.cpp
@@ -13,7 +13,7 @@
     logEvent(Event::kUpstreamChanged, {{"upstream", upstream.id},
                                        {"service", upstream.service.value},
                                        {"address", upstream.address},
-                                       {"state", upstream.leaving ? "leaving" : "ready"},
+                                       {"state", upstream.draining ? "leaving" : "ready"},
                                        {"source", std::string(source)}});
 }
 
@@ -59,7 +59,7 @@
     if (known != nullptr && *known == upstream) {
         return;
     }
-    if (upstream.leaving) {
+    if (upstream.draining) {
         m_pool.drop(upstream.id);
     }
     // The first list is one line: a box of a large site would log for a second otherwise.
--- a/src/membership/BoxDirectory.cpp
+++ b/src/membership/BoxDirectory.cpp
@@ -52,22 +52,22 @@
 }
 
 void BoxDirectory::forget(MonoTime oldest, const std::function<bool(const std::string&)>& keep) {
-    const size_t gone = std::erase_if(
+    const size_t forgotten = std::erase_if(
         m_boxes, [&](const auto& box) { return box.second.heard < oldest && !keep(box.first); });
-    if (gone > 0) {
+    if (forgotten > 0) {
         arrange();
     }
 }
 
 std::vector<KnownBox> BoxDirectory::takeNewcomers() {
-    std::vector<KnownBox> news;
+    std::vector<KnownBox> newcomers;
     for (const std::string& address : std::exchange(m_newcomers, {})) {
         const auto it = m_boxes.find(address);
         if (it != m_boxes.end()) {
-            news.push_back({address, it->second.zone});
+            newcomers.push_back({address, it->second.zone});
         }
     }
-    return news;
+    return newcomers;
 }
 
 std::vector<KnownBox> BoxDirectory::all() const {
--- a/src/membership/DigestTargets.cpp
+++ b/src/membership/DigestTargets.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Millis kLeastSilence = 2500;
+constexpr Millis kMinSilence = 2500;
 constexpr Millis kPeriodsMissed = 3;  // So many digests in a row may be late.
 
 }  // namespace
@@ -38,7 +38,7 @@
 }
 
 Millis SilenceBound(Millis promised) {
-    return std::max(kLeastSilence, kPeriodsMissed * promised);
+    return std::max(kMinSilence, kPeriodsMissed * promised);
 }
 
 }  // namespace onyx
--- a/src/observe/Metrics.cpp
+++ b/src/observe/Metrics.cpp
@@ -58,7 +58,7 @@
     const auto it = m_counters.find(series);
     if (it != m_counters.end()) {
         it->second += n;
-    } else if (m_counters.size() < kMostSeries) {
+    } else if (m_counters.size() < kMaxSeries) {
         m_counters.emplace(series, n);
     } else {
         m_counters[SeriesName(name, {{"series", "other"}})] += n;
--- a/src/relay/EventStream.cpp
+++ b/src/relay/EventStream.cpp
@@ -38,13 +38,13 @@
 }  // namespace
 
 std::vector<StreamEvent> EventStream::feed(std::string_view bytes) {
-    m_rest += bytes;
+    m_incomplete += bytes;
     std::vector<StreamEvent> events;
     size_t taken = 0;
     while (true) {
-        const std::string_view text = std::string_view(m_rest).substr(taken);
+        const std::string_view text = std::string_view(m_incomplete).substr(taken);
         size_t end = EndOfEvent(text);
-        if (end == std::string_view::npos && text.size() > kMostEventBytes) {
+        if (end == std::string_view::npos && text.size() > kMaxEventBytes) {
             end = text.size();
         }
         if (end == std::string_view::npos) {
@@ -54,7 +54,7 @@
         events.push_back({std::string(event), IdOf(event)});
         taken += end;
     }
-    m_rest.erase(0, taken);
+    m_incomplete.erase(0, taken);
     return events;
 }
 
--- a/src/routing/Catalog.cpp
+++ b/src/routing/Catalog.cpp
@@ -70,9 +70,9 @@
     }
 }
 
-const TeamKey* Catalog::findKey(std::string_view key) const {
-    const auto it = m_parts.keys.find(std::string(key));
-    return it == m_parts.keys.end() ? nullptr : &it->second;
+const Credential* Catalog::findCredential(std::string_view name) const {
+    const auto it = m_parts.credentials.find(std::string(name));
+    return it == m_parts.credentials.end() ? nullptr : &it->second;
 }
 
 const ServiceSpec* Catalog::findService(const ServiceId& service) const {
@@ -80,12 +80,12 @@
     return it == m_services.end() ? nullptr : it->second;
 }
 
-const ServiceId& PickService(const Route& route, uint64_t point) {
+const ServiceId& PickService(const Route& route, uint64_t draw) {
     uint64_t sum = 0;
     for (const WeightedService& entry : route.services) {
         sum += entry.weight;
     }
-    uint64_t left = sum == 0 ? 0 : point % sum;
+    uint64_t left = sum == 0 ? 0 : draw % sum;
     for (const WeightedService& entry : route.services) {
         if (left < entry.weight) {
             return entry.service;
--- a/src/routing/UpstreamTable.cpp
+++ b/src/routing/UpstreamTable.cpp
@@ -20,7 +20,7 @@
         return;
     }
     m_removed.push_back({id, revision});
-    if (m_removed.size() > kMostRemoved) {
+    if (m_removed.size() > kMaxRemoved) {
         m_oldest = std::max(m_oldest, m_removed.front().at);
         m_removed.pop_front();
     }
@@ -66,7 +66,7 @@
 std::vector<const Upstream*> UpstreamTable::takingWork(const ServiceId& service) const {
     std::vector<const Upstream*> out;
     for (const auto& [id, entry] : m_entries) {
-        if (entry.upstream.service == service && !entry.upstream.leaving) {
+        if (entry.upstream.service == service && !entry.upstream.draining) {
             out.push_back(&entry.upstream);
         }
     }
--- a/src/wire/FrameCodec.cpp
+++ b/src/wire/FrameCodec.cpp
@@ -17,7 +17,7 @@
 
 Result<size_t> DecodeFrameSize(std::span<const char> header) {
     const auto size = flatbuffers::ReadScalar<uint32_t>(header.data());
-    if (size == 0 || size > kMostFrameSize) {
+    if (size == 0 || size > kMaxFrameSize) {
         return Error{ErrorCode::kProtocol, "frame.size", "", std::to_string(size)};
     }
     return static_cast<size_t>(size);
--- a/src/wire/FrameLink.cpp
+++ b/src/wire/FrameLink.cpp
@@ -159,7 +159,7 @@
         return;
     }
     m_queuedBytes += frame.size();
-    if (m_queuedBytes > kMostQueuedBytes) {
+    if (m_queuedBytes > kMaxQueuedBytes) {
         close();
         return;
     }
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -22,7 +22,7 @@
     open.pathPrefix = "/open/";
     open.open = true;
     parts.routes = {keyed, open};
-    parts.keys["key-of-north"] = {TeamId("north"), 1};
+    parts.credentials["key-of-north"] = {TeamId("north"), 1};
     return Catalog::Make(std::move(parts)).value();
 }
 
@@ -30,11 +30,11 @@
     return {false, SomeCatalog(), Millis{100}, true};
 }
 
-AdmissionRequest RequestFor(std::string_view target, std::string_view key) {
+AdmissionRequest RequestFor(std::string_view target, std::string_view credential) {
     AdmissionRequest request;
     request.host = "desk.example";
     request.target = target;
-    request.key = key;
+    request.credential = credential;
     request.arrived = {1000};
     return request;
 }
@@ -66,14 +66,15 @@
 
 TEST_CASE("A box that knows says what does not exist; one that does not know says so") {
     const AdmissionRequest noRoute = RequestFor("/nowhere/", "key-of-north");
-    const AdmissionRequest noKey = RequestFor("/keyed/", "x");
+    const AdmissionRequest noCredential = RequestFor("/keyed/", "x");
     const AdmissionRules serving{ServeStale{}, 3600};
     AdmissionKnowledge knowledge = Fresh();
     CHECK(RefusalOf(serving, knowledge, noRoute)->status == 404);
-    CHECK(RefusalOf(serving, knowledge, noKey)->status == 401);
+    CHECK(RefusalOf(serving, knowledge, noCredential)->status == 401);
     knowledge.catalogAge = kBeyondFresh;
     CHECK(RefusalOf(serving, knowledge, noRoute)->reason == RefusalReason::kRouteUnknownYet);
-    CHECK(RefusalOf(serving, knowledge, noKey)->reason == RefusalReason::kKeyUnknownYet);
+    CHECK(RefusalOf(serving, knowledge, noCredential)->reason ==
+          RefusalReason::kCredentialUnknownYet);
     CHECK_FALSE(RefusalOf(serving, knowledge, RequestFor("/keyed/", "key-of-north")));
     knowledge.upstreamsListed = false;
     CHECK(RefusalOf(serving, knowledge, noRoute)->reason == RefusalReason::kNoConfiguration);
--- a/tests/EventStreamTest.cpp
+++ b/tests/EventStreamTest.cpp
@@ -27,15 +27,15 @@
         at += size;
     }
     CHECK(out == text);
-    CHECK(stream.rest().empty());
+    CHECK(stream.incomplete().empty());
 }
 
 TEST_CASE("What is left of a broken event is not passed on") {
     EventStream stream;
     CHECK(stream.feed("id: 1\ndata: a\n\nid: 2\nda").size() == 1);
-    CHECK(stream.rest() == "id: 2\nda");
+    CHECK(stream.incomplete() == "id: 2\nda");
     stream.reset();
-    CHECK(stream.rest().empty());
+    CHECK(stream.incomplete().empty());
 }
 
 TEST_CASE("An event without an id, or with one that is no number, has none") {
@@ -51,6 +51,6 @@
     const std::string piece(64 * 1024, 'x');
     for (int i = 0; i < 100; ++i) {
         stream.feed(piece);
-        CHECK(stream.rest().size() <= EventStream::kMostEventBytes + piece.size());
+        CHECK(stream.incomplete().size() <= EventStream::kMaxEventBytes + piece.size());
     }
 }
--- a/tests/FreshnessTest.cpp
+++ b/tests/FreshnessTest.cpp
@@ -83,7 +83,7 @@
 TEST_CASE("Questions that were never answered are forgotten") {
     PeerKnowledge peers;
     const uint64_t first = peers.ask({1});
-    for (size_t i = 0; i < PeerKnowledge::kMostRounds; ++i) {
+    for (size_t i = 0; i < PeerKnowledge::kMaxRounds; ++i) {
         peers.ask({2});
     }
     CHECK_FALSE(peers.answered(first, 0).has_value());
@@ -118,7 +118,7 @@
     std::set<std::string> asked;
     for (int round = 0; round < 4; ++round) {
         const auto some = knowledge.nextAsked(peers);
-        CHECK(some.size() == PeerKnowledge::kMostAsked);
+        CHECK(some.size() == PeerKnowledge::kMaxAsked);
         asked.insert(some.begin(), some.end());
     }
     CHECK(asked.size() == peers.size());
--- a/tests/GatewaySettingsTest.cpp
+++ b/tests/GatewaySettingsTest.cpp
@@ -60,14 +60,14 @@
         const GatewaySettings settings =
             Read(kGood + "leaving_bound_ms = " + std::to_string(bound) + "\n", problems);
         CHECK(problems.empty());
-        CHECK(settings.delegation.mostAge + settings.pacing.followPeriod < bound * 8 / 10);
+        CHECK(settings.delegation.maxAge + settings.pacing.followPeriod < bound * 8 / 10);
         // While all is well the knowledge of a follower stays younger than that.
         CHECK(settings.pacing.followedWait + settings.pacing.followPeriod <
-              settings.delegation.mostAge);
+              settings.delegation.maxAge);
     }
     std::string problems;
     const GatewaySettings tight = Read(kGood + "leaving_bound_ms = 300\n", problems);
-    CHECK(tight.delegation.leastBoxes > 1000000);
+    CHECK(tight.delegation.minBoxes > 1000000);
 }
 
 TEST_CASE("Keys are refused on a stale configuration unless the settings say otherwise") {
@@ -77,7 +77,7 @@
         Read(kGood + "stale_keys = \"serve\"\nstale_limit_ms = 30000\n", problems);
     CHECK(problems.empty());
     REQUIRE(std::holds_alternative<ServeStale>(serving.admission.staleness));
-    CHECK(std::get<ServeStale>(serving.admission.staleness).mostAge == 30000);
+    CHECK(std::get<ServeStale>(serving.admission.staleness).maxAge == 30000);
     Read(kGood + "stale_keys = \"perhaps\"\n", problems);
     CHECK(problems.find("store.stale_keys") != std::string::npos);
     Read(kGood + "stale_keys = \"serve\"\nstale_limit_ms = 100\n", problems);
--- a/tests/UpstreamTableTest.cpp
+++ b/tests/UpstreamTableTest.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-Upstream UpstreamOf(const std::string& id, bool leaving = false) {
-    return {id, ServiceId("s"), "127.0.0.1:1", ZoneId("z"), leaving, 4};
+Upstream UpstreamOf(const std::string& id, bool draining = false) {
+    return {id, ServiceId("s"), "127.0.0.1:1", ZoneId("z"), draining, 4};
 }
 
 }  // namespace
@@ -26,7 +26,7 @@
     table.put(UpstreamOf("a"), {1}, 1);
     table.put(UpstreamOf("a", true), {9}, 2);
     CHECK(table.all().at("a").since == MonoTime{1});
-    CHECK(table.find("a")->leaving);
+    CHECK(table.find("a")->draining);
 }
 
 namespace {
@@ -54,7 +54,7 @@
     CHECK_FALSE(since.whole);
     CHECK(since.revision == 14);
     CHECK(IdsOf(since.changed) == std::vector<std::string>{"a"});
-    CHECK(since.changed.front().leaving);
+    CHECK(since.changed.front().draining);
     CHECK(since.removed == std::vector<std::string>{"b"});
     CHECK(table.changesSince(12).changed.empty());
     CHECK(table.changesSince(14).removed.empty());
