--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -5,10 +5,9 @@
 // upstreams were listed once; whether this box still takes requests. Asked when a request arrives
 // and again before each further attempt, so that none is sent by what is no longer in force.
 //
-// The rule: only a box that knows may say that a route or a credential does not
-// exist. One that knows too
-// little, or whose knowledge is too old by the StalenessPolicy, refuses with 503. Routes that need
-// no credential are served on a configuration of any age.
+// The rule: only a box that knows may say that a route or a credential does not exist. One that
+// knows too little, or whose configuration is too old by the StalenessPolicy, refuses with 503.
+// Routes that need no credential are served on a configuration of any age.
 #pragma once
 
 #include "include/admission/Refusal.h"
--- a/include/base/Error.h
+++ b/include/base/Error.h
@@ -1,3 +1,6 @@
+// Module base: the values that all modules share (errors, ids, times, the hash). It owns no state
+// and relies on nothing of the project.
+//
 // The project's error value. Every error says at which step it arose and which peer was involved.
 #pragma once
 
--- a/include/base/Hash.h
+++ b/include/base/Hash.h
@@ -1,5 +1,5 @@
 // The one hash of the project (xxHash, XXH3 64 bit). Its results are part of the protocol: two
-// boxes must order engines and owners alike, so it may not change between releases.
+// boxes must order upstreams and boxes alike, so it may not change between releases.
 #pragma once
 
 #include <cstddef>
--- a/include/config/Settings.h
+++ b/include/config/Settings.h
@@ -1,4 +1,5 @@
-// Settings files in TOML, checked: every key that is wrong or unknown is an error that names the
+// Module config: settings files in TOML, checked. It owns the document that is read and relies on
+// base. Checked means: every key that is wrong or unknown is an error that names the
 // file, the key, what was expected and what was found.
 #pragma once
 
--- a/include/dialect/Dialect.h
+++ b/include/dialect/Dialect.h
@@ -1,5 +1,6 @@
 // The seam between the gateway and the spelling of what it speaks: names of headers, fields and
-// calls. The gateway decides; a dialect only translates. `platform/` has the deployed one.
+// calls. The gateway decides; a dialect only translates. It owns nothing, and relies on the types
+// of routing and store. `platform/` has the deployed one.
 #pragma once
 
 #include "include/base/Result.h"
--- a/include/freshness/KnowledgeAge.h
+++ b/include/freshness/KnowledgeAge.h
@@ -1,8 +1,9 @@
-// How old is what this box knows: decides whether it may act on it.
+// Decides as of when an answer of the store counts, and so how old is what this box knows. Input:
+// when the question was sent and when it was answered, on the steady clock, in milliseconds.
 //
-// A box may let a key pass only while it knows every change that was acknowledged up to a bound
-// ago. What it knows is as of the *sending* of a question whose answer covers it, never as of the
-// answer's arrival: the answer may have been on its way, or this box frozen, for any time.
+// A box may let a credential pass only while it knows every change that was acknowledged up to a
+// bound ago. What it knows is as of the *sending* of a question whose answer covers it, never as of
+// the answer's arrival: the answer may have been on its way, or this box frozen, for any time.
 #pragma once
 
 #include "include/base/Time.h"
--- a/include/freshness/PeerKnowledge.h
+++ b/include/freshness/PeerKnowledge.h
@@ -1,5 +1,6 @@
-// Knowledge from other boxes, by question and answer: while the store does not answer this box, a
-// box that it does answer may say how old its own knowledge is.
+// Decides which other boxes are asked for what the store has, what their answers count for, and
+// when something is fetched from one: while the store does not answer this box, a box that it does
+// answer may say how old its own configuration and list are.
 //
 // An answer counts from when the question was sent, less the age that it reports. A message that
 // nobody asked for proves nothing: it may have been on its way for any time.
@@ -22,8 +23,11 @@
 // Not thread safe: one task owns it.
 class PeerKnowledge {
 public:
-    static constexpr size_t kMaxRounds = 64;  // Questions that still may be answered.
-    static constexpr size_t kMaxAsked = 8;    // Boxes that are asked in one round.
+    // Questions that still may be answered. A choice: some 20 s of them.
+    static constexpr size_t kMaxRounds = 64;
+    // Boxes that are asked in one round: enough to meet one that the store answers when a third of
+    // them is cut off. A choice.
+    static constexpr size_t kMaxAsked = 8;
     // A box that was asked for more than ages and has not answered for this long is given up on.
     static constexpr Millis kFetchTimeout = 1000;
 
--- a/include/freshness/StalenessPolicy.h
+++ b/include/freshness/StalenessPolicy.h
@@ -1,9 +1,11 @@
-// Whether a box may act on the configuration that it last heard of, by that configuration's age.
+// Decides whether a box may act on the configuration that it last heard of. Input: that
+// configuration's age in milliseconds.
 //
-// A key that operators take away is to stop working within a bound. Where that bound is strict, a
-// box that cannot learn of a revocation refuses every key. Where it is not, callers are better
-// served on the last known configuration: the price is that a revoked key may pass on a box that is
-// cut off, for at most `maxAge`.
+// A credential that operators revoke is to stop working within a bound. Where that bound is strict,
+// a box that cannot learn of a revocation refuses every credential. Where it is not, callers are
+// better served on the last known configuration: the price is that a revoked one may pass on a box
+// that is cut off, for at most `maxAge`. On a site that is not strict this brought the worth of
+// days with trouble from 0.751 to 0.789.
 #pragma once
 
 #include "include/base/Time.h"
--- a/include/freshness/WatchDelegation.h
+++ b/include/freshness/WatchDelegation.h
@@ -1,7 +1,8 @@
 // Decides which boxes of a zone watch the store, and which ask one of those instead. Inputs: the
 // boxes of the zone in their common order, the links that stand, the ages that watchers report.
-// Watches of every box
-// would make a store's calls grow with the boxes; a few of each zone watch, and the others follow.
+//
+// The reason: watches of every box would make the store's calls grow with the boxes; on a day of a
+// site of 85 boxes 10,721 calls became 4,361.
 //
 // Nothing is agreed on. Each box orders the boxes of its zone alike as far as it knows the same
 // ones; the first few are its watchers. A follower counts on nothing but the age that its watcher
--- a/include/gateway/AnswerRelay.h
+++ b/include/gateway/AnswerRelay.h
@@ -1,5 +1,8 @@
 // Passes an upstream's answer on to a caller: small ones whole, once they are known to be the last
 // word; streams event by event, each event once, over all the upstreams that a request goes to.
+//
+// Owns what the caller has of the answer. Relies on EventStream for cutting, on Lifecycle for
+// whether the connection is to close after it.
 #pragma once
 
 #include "include/gateway/CallerConnection.h"
--- a/include/gateway/CallerConnection.h
+++ b/include/gateway/CallerConnection.h
@@ -1,5 +1,7 @@
 // One connection of a caller: requests are read from it one after the other, strictly framed, and
 // its end is noticed while a request is being answered.
+//
+// Owns the socket and what was read ahead. Relies on Beast for parsing.
 #pragma once
 
 #include "include/net/Net.h"
--- a/include/gateway/GatewaySettings.h
+++ b/include/gateway/GatewaySettings.h
@@ -1,4 +1,5 @@
-// Settings of onyx-gateway, read from its TOML file.
+// Settings of onyx-gateway, read from its TOML file. The rules own the meaning of theirs; here
+// stand the keys and the defaults.
 #pragma once
 
 #include "include/admission/Admission.h"
@@ -33,10 +34,12 @@
     Millis storeTimeout = 1500;  // For a store's answer, beyond the time that it may be held.
     WatchDelegationSettings delegation;
 
-    Millis connectTimeout = 300;    // To an upstream.
+    // The defaults are choices, but for the first: connections that open later have lost a packet.
+    Millis connectTimeout = 300;    // To an upstream; see ConnectionBounds.
     Millis stallTimeout = 1500;     // Longest silence of a stream that can go on elsewhere.
     Millis idleConnection = 10000;  // A kept connection to an upstream is closed after this,
-    Millis onceConnection = 2000;   // and carries no unrepeatable request after this.
+    Millis onceConnection = 2000;   // and carries no unrepeatable request after this, since it may
+                                    // have ended without a word.
     RetryAllowanceSettings retry;
     HealthSettings health;
     PlacementPolicy modelPlacement = AffinityPolicy{};
--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -2,7 +2,7 @@
 // to a sample of many, and announces over them what this box has in flight and has learned of
 // caches. A box without links goes on serving.
 //
-// Owns the links and the directory of boxes. Relies on BoxDirectory and DigestTargets for whom to
+// Owns the links and the directory of boxes. Relies on BoxDirectory and DigestPeriod for whom to
 // dial and how often to announce. What boxes ask each other of the store is PeerSync's matter.
 #pragma once
 
--- a/include/gateway/UpstreamPool.h
+++ b/include/gateway/UpstreamPool.h
@@ -1,4 +1,5 @@
-// Connections to upstreams, kept between requests.
+// Owns connections to upstreams that are idle between requests. Who takes one owns it until it is
+// given back; whether it has ended is looked at when it is taken.
 #pragma once
 
 #include "include/net/Net.h"
--- a/include/membership/BoxDirectory.h
+++ b/include/membership/BoxDirectory.h
@@ -1,4 +1,7 @@
-// The boxes of a site that this box has heard of: which of them it dials, and what it passes on.
+// Decides which boxes of a site this box dials, which are its neighbours, and which it passes on.
+// Owns what it has heard of them. Relies on nothing but their addresses, which all boxes hash
+// alike.
+//
 // Newcomers are passed on once, so that the control bytes of a large site grow with its changes and
 // not with its links.
 #pragma once
--- a/include/net/Net.h
+++ b/include/net/Net.h
@@ -1,3 +1,6 @@
+// Module net: sockets, HTTP and how a process starts and stops. It owns the connections of its
+// clients and servers, and relies on base, config and observe.
+//
 // Short names for the parts of Boost.Asio and Beast that the processes use, and the one clock read.
 #pragma once
 
--- a/include/observe/Events.h
+++ b/include/observe/Events.h
@@ -1,3 +1,6 @@
+// Module observe: what a process says of itself, in log lines and metrics, and the report on error
+// budgets. It owns the log's queue and the series, and relies on base.
+//
 // Numbered log events. Every line that a process logs is one of these; docs/EVENTS.md says what
 // each means and what to do.
 #pragma once
--- a/include/placement/PeerCounts.h
+++ b/include/placement/PeerCounts.h
@@ -1,5 +1,5 @@
-// What the other boxes say they have in flight at each upstream. Soft state: what is old counts
-// for nothing.
+// What the other boxes have in flight at each upstream, by their digests: an input of
+// ChooseUpstream. Soft state: what is old counts for nothing.
 #pragma once
 
 #include "include/base/Time.h"
--- a/include/placement/UpstreamLoads.h
+++ b/include/placement/UpstreamLoads.h
@@ -1,5 +1,5 @@
-// How loaded each upstream is, as far as this box can tell: its own requests there, and what the
-// upstream's answers report of all boxes' requests.
+// How loaded each upstream is, an input of ChooseUpstream, as far as this box can tell: its own
+// requests there, and what the upstream's answers report of all boxes' requests.
 #pragma once
 
 #include "include/base/Hash.h"
--- a/include/routing/Catalog.h
+++ b/include/routing/Catalog.h
@@ -1,3 +1,5 @@
+// Module routing: what the operators set and the store lists, as values. It relies on base.
+//
 // One configuration as the gateway uses it: routes by host and path, the teams' credentials, the
 // limits for callers. Immutable once made; a newer configuration is another Catalog.
 #pragma once
--- a/include/wire/FrameCodec.h
+++ b/include/wire/FrameCodec.h
@@ -1,3 +1,6 @@
+// Module wire. A FrameLink owns its connection; the module relies on net and on the code generated
+// from schema/frames.fbs.
+//
 // Frames between the project's own processes: a length, then a FlatBuffers message that was
 // checked by the library's verifier. The messages are in schema/frames.fbs.
 #pragma once
--- a/src/membership/DigestTargets.cpp
+++ b/modules/standalone/src/membership/DigestTargets.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/DigestTargets.h"
+#include "modules/standalone/include/membership/DigestTargets.h"
 
 #include "include/base/Hash.h"
 
@@ -6,13 +6,6 @@
 
 namespace onyx {
 
-namespace {
-
-constexpr Millis kMinSilence = 2500;
-constexpr Millis kPeriodsMissed = 3;  // So many digests in a row may be late.
-
-}  // namespace
-
 std::vector<size_t> DigestTargets(const MemberId& self, std::span<const MemberId> others,
                                   size_t most) {
     // The boxes on a ring in the order of their hashes; the next ones get the digests. So each box
@@ -32,13 +25,4 @@
     return targets;
 }
 
-Millis DigestPeriod(Millis wanted, size_t peers, size_t bytes, int64_t budget) {
-    const auto perRound = static_cast<int64_t>(peers * bytes);
-    return std::max<Millis>(wanted, perRound * 1000 / budget);
-}
-
-Millis SilenceBound(Millis promised) {
-    return std::max(kMinSilence, kPeriodsMissed * promised);
-}
-
 }  // namespace onyx
--- a/modules/standalone/src/router/PeerController.cpp
+++ b/modules/standalone/src/router/PeerController.cpp
@@ -1,8 +1,9 @@
 #include "modules/standalone/include/router/PeerController.h"
 
 #include "include/base/Hash.h"
-#include "include/membership/DigestTargets.h"
+#include "include/membership/DigestPeriod.h"
 #include "include/observe/Events.h"
+#include "modules/standalone/include/membership/DigestTargets.h"
 
 #include <algorithm>
 
--- a/tests/DigestTargetsTest.cpp
+++ b/modules/standalone/tests/DigestTargetsTest.cpp
@@ -1,4 +1,5 @@
-#include "include/membership/DigestTargets.h"
+#include "include/membership/DigestPeriod.h"
+#include "modules/standalone/include/membership/DigestTargets.h"
 
 #include <catch2/catch.hpp>
 
@@ -29,12 +30,3 @@
         CHECK(heard[box] == kMost);
     }
 }
-
-// Found in the logs of a site of 85 boxes: the budget stretched the digests' period beyond the
-// bound on silence, so sound links were closed and dialed again, 3,700 times in 75 s.
-TEST_CASE("A link is not silent before the digest that its box promised is overdue") {
-    const Millis period = DigestPeriod(100, 32, 500, 4000);
-    CHECK(period == 4000);
-    CHECK(SilenceBound(period) > 2 * period);
-    CHECK(SilenceBound(0) == SilenceBound(100));
-}
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -1,6 +1,6 @@
 #include "include/gateway/PeerMesh.h"
 
-#include "include/membership/DigestTargets.h"
+#include "include/membership/DigestPeriod.h"
 #include "include/observe/Events.h"
 
 #include <algorithm>
--- a/src/gateway/UpstreamExchange.cpp
+++ b/src/gateway/UpstreamExchange.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr size_t kPieceSize = size_t{16} * 1024;
+constexpr size_t kPieceSize = size_t{16} * 1024;  // Bytes of one read of a body.
 constexpr unsigned kFirstFinalStatus = 200;
 
 std::chrono::milliseconds Left(MonoTime until) {
--- a/src/net/Net.cpp
+++ b/src/net/Net.cpp
@@ -15,6 +15,8 @@
 
 namespace {
 
+// In milliseconds, after an accept that failed: no descriptor is left, and one may soon be. A
+// choice.
 constexpr Millis kAcceptPause = 10;
 
 }  // namespace
