--- a/include/gateway/AnswerRelay.h
+++ b/include/gateway/AnswerRelay.h
@@ -52,6 +52,8 @@
     bool headSent() const { return m_headSent; }
     // Events up to this one are with the caller. Preconditions: none.
     std::optional<uint64_t> lastEvent() const { return m_lastEvent; }
+    // When the first byte of an answer went to the caller, if one did. Preconditions: none.
+    std::optional<MonoTime> firstByteAt() const { return m_firstByteAt; }
     // Status of the answer, 0 if there was none. Preconditions: none.
     unsigned status() const { return m_status; }
 
@@ -67,6 +69,7 @@
     CallerConnection& m_caller;
     std::optional<uint64_t> m_lastEvent;
     bool m_headSent = false;
+    std::optional<MonoTime> m_firstByteAt;
     std::string m_wholeAnswer;  // As it goes to the caller.
     unsigned m_status = 0;
 };
--- a/include/gateway/RequestLog.h
+++ b/include/gateway/RequestLog.h
@@ -36,6 +36,7 @@
     bool mayHaveRun = false;
     unsigned status = 0;  // Of the answer, 0 if there was none.
     Millis took = 0;
+    std::optional<Millis> firstByte;  // After the request came; nothing: the caller got none.
 };
 
 // The configuration that a decision was made on; nothing where there was none.
@@ -44,6 +45,11 @@
     std::optional<Millis> age;
 };
 
+// How a request that was not refused ended, as it stands in the log.
+inline constexpr std::string_view kAnswered = "answered";
+inline constexpr std::string_view kStreamBroken = "stream-broken";
+inline constexpr std::string_view kCallerGone = "caller-gone";
+
 // Not thread safe: one io_context.
 class RequestLog {
 public:
@@ -76,8 +82,9 @@
     // An attempt led to the ejection of its upstream. Preconditions: none.
     void ejected(const std::string& upstream, AttemptEnd after);
 
-    // This box answered by itself. Preconditions: none.
-    void refused(const RequestReport& request, const Refusal& refusal,
+    // This box answered by itself. `admission`: null if the request was not admitted.
+    // Preconditions: none.
+    void refused(const RequestReport& request, const Admission* admission, const Refusal& refusal,
                  const ConfigurationReport& configuration);
 
     // The request was answered, or its caller left. Preconditions: none.
@@ -87,6 +94,10 @@
     void badRequest(unsigned status, const std::string& problem);
 
 private:
+    // Counts a request for the report on error budgets (Burn.h). `good`: it was answered, not by a
+    // server's error, and its first byte came within the route's objective.
+    void countForBudget(const Admission* admission, bool good);
+
     Metrics& m_metrics;
     bool m_servesStale = false;  // The last request was decided on a stale configuration.
 };
--- a/src/gateway/AnswerRelay.cpp
+++ b/src/gateway/AnswerRelay.cpp
@@ -133,6 +133,7 @@
 
 Task<bool> AnswerRelay::sendHead(const ResponseHead& head) {
     m_headSent = true;
+    m_firstByteAt = ReadClocks().mono;
     m_status = head.result_int();
     const HttpFields fields = PassedFields(head);
     std::string text = ChunkedHeadText(head, fields, m_lifecycle.draining());
@@ -140,6 +141,7 @@
 }
 
 Task<bool> AnswerRelay::finish() {
+    m_firstByteAt = m_firstByteAt.value_or(ReadClocks().mono);
     std::string text = m_headSent ? std::string(kLastChunk) : std::move(m_wholeAnswer);
     co_return co_await m_caller.write(std::move(text));
 }
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -78,7 +78,7 @@
         }
         const Verdict verdict = co_await attempt(*next);
         if (m_caller.gone()) {
-            co_return abandon("caller-gone");
+            co_return abandon(kCallerGone);
         }
         if (verdict.step != NextStep::kRetry) {
             co_return co_await conclude(verdict);
@@ -131,7 +131,7 @@
         co_return co_await deliver();
     }
     if (verdict.step == NextStep::kBreak) {
-        co_return abandon("stream-broken");
+        co_return abandon(kStreamBroken);
     }
     const RefusalReason failed = m_timedOut ? RefusalReason::kTimedOut : RefusalReason::kUnclear;
     const bool notRun = verdict.step == NextStep::kRefuse;
@@ -141,7 +141,7 @@
 
 Task<AfterAnswer> RequestHandler::deliver() {
     const bool written = co_await m_relay->finish();
-    m_context.log.done(report(), m_admission, "answered");
+    m_context.log.done(report(), m_admission, kAnswered);
     co_return written ? afterAnswer() : AfterAnswer::kAborted;
 }
 
@@ -169,7 +169,8 @@
     if (configuration.catalog()) {
         decidedOn.version = configuration.version();
     }
-    m_context.log.refused(report(), refusal, decidedOn);
+    const Admission* admission = m_admission.route != nullptr ? &m_admission : nullptr;
+    m_context.log.refused(report(), admission, refusal, decidedOn);
     co_return written ? afterAnswer() : AfterAnswer::kAborted;
 }
 
@@ -186,6 +187,9 @@
     report.mayHaveRun = m_attempts.mayHaveRun();
     report.status = m_relay ? m_relay->status() : 0;
     report.took = ReadClocks().mono - m_arrived;
+    if (m_relay && m_relay->firstByteAt()) {
+        report.firstByte = *m_relay->firstByteAt() - m_arrived;
+    }
     return report;
 }
 
--- a/src/gateway/RequestLog.cpp
+++ b/src/gateway/RequestLog.cpp
@@ -10,6 +10,8 @@
     return value ? "yes" : "no";
 }
 
+constexpr unsigned kFirstServerError = 500;
+
 template <class Number>
 std::string NumberOr(const std::optional<Number>& number, const char* otherwise) {
     return number ? std::to_string(*number) : otherwise;
@@ -84,8 +86,19 @@
                                  {"why", std::string(StepReasonName(verdict.reason))}});
 }
 
-void RequestLog::refused(const RequestReport& request, const Refusal& refusal,
-                         const ConfigurationReport& configuration) {
+// What is not known of a request that was not admitted counts as "unknown".
+void RequestLog::countForBudget(const Admission* admission, bool good) {
+    const std::string unknown = "unknown";
+    const MetricLabels labels = {
+        {"service", admission ? admission->service.value : unknown},
+        {"team", admission ? admission->team.value : unknown},
+        {"priority", admission ? std::to_string(admission->priority) : unknown}};
+    m_metrics.count("onyx_slo_total", labels);
+    m_metrics.count("onyx_slo_bad_total", labels, good ? 0 : 1);
+}
+
+void RequestLog::refused(const RequestReport& request, const Admission* admission,
+                         const Refusal& refusal, const ConfigurationReport& configuration) {
     logEvent(Event::kRequestRefused, {{"request", request.id},
                                       {"status", std::to_string(refusal.status)},
                                       {"reason", refusal.text},
@@ -95,11 +108,20 @@
                                       {"knowledge_age_ms", NumberOr(configuration.age, "none")}});
     m_metrics.count("onyx_refusals_total",
                     {{"status", std::to_string(refusal.status)}, {"why", refusal.text}});
+    // What callers did wrong is no failure of the service.
+    if (refusal.status >= kFirstServerError) {
+        countForBudget(admission, false);
+    }
 }
 
 void RequestLog::done(const RequestReport& request, const Admission& admission,
                       std::string_view outcome) {
     const Route& route = *admission.route;
+    if (outcome != kCallerGone) {
+        const bool inTime = request.firstByte && *request.firstByte <= route.objective;
+        const bool answered = outcome == kAnswered && request.status < kFirstServerError;
+        countForBudget(&admission, answered && inTime);
+    }
     m_metrics.count("onyx_requests_total", {{"outcome", std::string(outcome)}});
     m_metrics.observe("onyx_request_ms", {{"route", route.name}},
                       static_cast<double>(request.took));
