--- /dev/null
+++ b/include/base/HttpStatus.h
@@ -0,0 +1,23 @@
+// The HTTP statuses that this project gives or looks for, by name.
+#pragma once
+
+namespace onyx {
+
+// Numbers as on the wire.
+struct HttpStatus {
+    static constexpr unsigned kOk = 200;
+    static constexpr unsigned kFirstFinal = 200;  // Lower ones announce that another head follows.
+    static constexpr unsigned kBadRequest = 400;
+    static constexpr unsigned kUnauthorized = 401;
+    static constexpr unsigned kNotFound = 404;
+    static constexpr unsigned kRequestTimeout = 408;
+    static constexpr unsigned kGone = 410;
+    static constexpr unsigned kPayloadTooLarge = 413;
+    static constexpr unsigned kMisdirected = 421;
+    static constexpr unsigned kFirstServerError = 500;
+    static constexpr unsigned kBadGateway = 502;
+    static constexpr unsigned kUnavailable = 503;
+    static constexpr unsigned kGatewayTimeout = 504;
+};
+
+}  // namespace onyx
--- a/include/freshness/WatchDelegation.h
+++ b/include/freshness/WatchDelegation.h
@@ -25,8 +25,11 @@
 
 // All times in milliseconds.
 struct WatchDelegationSettings {
+    // With one watcher in 16 boxes the eight watchers of a site of 87 cost more calls than all
+    // else.
     size_t boxesPerWatcher = 32;
-    size_t minBoxes = 5;   // In a zone of fewer, every box watches.
+    // In a zone of fewer, every box watches: too few calls are saved for the detour. A choice.
+    size_t minBoxes = 5;
     Millis maxAge = 1200;  // A follower with older knowledge watches by itself,
     Millis alone = 10000;  // for at least this long.
     // A watcher to which no link comes about for this long is gone: three periods of dialing.
--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -17,6 +17,7 @@
 #include <memory>
 #include <optional>
 #include <set>
+#include <span>
 #include <string>
 
 namespace onyx {
@@ -88,13 +89,15 @@
     void takeDigest(Peer& peer, const std::string& address, const wire::DigestT& digest);
     void onClosed(FrameLink& link);
     void learn(const wire::BoxListT& list);
+    wire::DigestT digestOf(const PeerCounts::Counts& counts);
     void sendDigest(const PeerCounts::Counts& counts);
     static wire::BoxListT ListOf(const std::vector<KnownBox>& boxes);
     void announceBoxes();
     void sendTo(const std::string& address, std::string frame);
     // Whom a frame to several boxes is for.
     enum class Audience : uint8_t { kAll, kNeighbours };
-    void sendToMany(Audience audience, const std::string& frame);
+    std::vector<std::shared_ptr<FrameLink>> linksTo(Audience audience) const;
+    void sendToMany(std::span<const std::shared_ptr<FrameLink>> links, const std::string& frame);
     void dropSilent();
 
     asio::io_context& m_io;
--- a/include/relay/AttemptBounds.h
+++ b/include/relay/AttemptBounds.h
@@ -30,7 +30,7 @@
 
     // Bounds for a route with this objective; connections get at most `maxConnect`.
     // Preconditions: objective >= 0. Thread safety: any thread.
-    static ConnectionBounds For(Millis objective, Millis maxConnect);
+    static ConnectionBounds ForObjective(Millis objective, Millis maxConnect);
 };
 
 // Keep-alive probes that an upstream's machine does not answer end the connection, 3 s after the
--- a/include/routing/UpstreamTable.h
+++ b/include/routing/UpstreamTable.h
@@ -73,7 +73,9 @@
     const std::map<std::string, Entry>& all() const { return m_entries; }
 
 private:
-    static constexpr size_t kMaxRemoved = 1000;  // Remembered of those taken out.
+    // Remembered of those taken out; who asks for older changes gets the whole list. A choice: more
+    // than a large site replaces in the time that a box is away.
+    static constexpr size_t kMaxRemoved = 1000;
 
     struct Removed {
         std::string id;
--- a/include/wire/FrameCodec.h
+++ b/include/wire/FrameCodec.h
@@ -13,10 +13,12 @@
 
 namespace onyx {
 
+// Of the frames; two boxes with different ones do not link.
 inline constexpr uint32_t kWireVersion = 1;
 inline constexpr size_t kFrameHeaderSize = 4;  // Length of the rest, little endian.
-inline constexpr size_t kMaxFrameSize =
-    size_t{8} * 1024 * 1024;  // Larger frames break the protocol.
+// Bytes; larger frames break the protocol. A choice: far above a large site's list or
+// configuration.
+inline constexpr size_t kMaxFrameSize = size_t{8} * 1024 * 1024;
 
 // Wraps a message of the schema (such as wire::DigestT) and encodes it with its length.
 // Preconditions: the message encodes to at most kMaxFrameSize. Thread safety: any thread.
--- a/src/admission/Refusal.cpp
+++ b/src/admission/Refusal.cpp
@@ -1,5 +1,7 @@
 #include "include/admission/Refusal.h"
 
+#include "include/base/HttpStatus.h"
+
 #include <algorithm>
 #include <array>
 #include <string_view>
@@ -9,13 +11,6 @@
 
 namespace {
 
-constexpr unsigned kBadRequest = 400;
-constexpr unsigned kUnauthorized = 401;
-constexpr unsigned kNotFound = 404;
-constexpr unsigned kBadGateway = 502;
-constexpr unsigned kUnavailable = 503;
-constexpr unsigned kGatewayTimeout = 504;
-
 // How a request is answered that is refused for a reason.
 struct Answer {
     RefusalReason reason;
@@ -24,25 +19,27 @@
     std::optional<Millis> retryAfter;
 };
 
-constexpr auto kLater = kRetryAfterNoConfiguration;
+constexpr std::optional<Millis> kLater = kRetryAfterNoConfiguration;
 constexpr std::optional<Millis> kNoRetry = std::nullopt;
 // One row for each reason.
 constexpr std::array<Answer, 12> kAnswers = {{
-    {RefusalReason::kBadHead, kBadRequest, "", kNoRetry},
-    {RefusalReason::kNoRequestId, kBadRequest, "the request has no id", kNoRetry},
-    {RefusalReason::kDraining, kUnavailable, "this box is leaving", kRetryAfterDraining},
-    {RefusalReason::kNoConfiguration, kUnavailable, "no configuration yet", kLater},
-    {RefusalReason::kConfigurationTooOld, kUnavailable,
+    {RefusalReason::kBadHead, HttpStatus::kBadRequest, "", kNoRetry},
+    {RefusalReason::kNoRequestId, HttpStatus::kBadRequest, "the request has no id", kNoRetry},
+    {RefusalReason::kDraining, HttpStatus::kUnavailable, "this box is leaving",
+     kRetryAfterDraining},
+    {RefusalReason::kNoConfiguration, HttpStatus::kUnavailable, "no configuration yet", kLater},
+    {RefusalReason::kConfigurationTooOld, HttpStatus::kUnavailable,
      "what is known of keys and routes is too old", kLater},
-    {RefusalReason::kRouteUnknownYet, kUnavailable, "no route in a stale configuration", kLater},
-    {RefusalReason::kCredentialUnknownYet, kUnavailable, "unknown key in a stale configuration",
+    {RefusalReason::kRouteUnknownYet, HttpStatus::kUnavailable, "no route in a stale configuration",
      kLater},
-    {RefusalReason::kNoRoute, kNotFound, "no route", kNoRetry},
-    {RefusalReason::kUnknownCredential, kUnauthorized, "unknown key", kNoRetry},
-    {RefusalReason::kNoUpstream, kUnavailable, "no upstream took the request",
+    {RefusalReason::kCredentialUnknownYet, HttpStatus::kUnavailable,
+     "unknown key in a stale configuration", kLater},
+    {RefusalReason::kNoRoute, HttpStatus::kNotFound, "no route", kNoRetry},
+    {RefusalReason::kUnknownCredential, HttpStatus::kUnauthorized, "unknown key", kNoRetry},
+    {RefusalReason::kNoUpstream, HttpStatus::kUnavailable, "no upstream took the request",
      kRetryAfterNoUpstream},
-    {RefusalReason::kTimedOut, kGatewayTimeout, "the request may have run", kNoRetry},
-    {RefusalReason::kUnclear, kBadGateway, "the request may have run", kNoRetry},
+    {RefusalReason::kTimedOut, HttpStatus::kGatewayTimeout, "the request may have run", kNoRetry},
+    {RefusalReason::kUnclear, HttpStatus::kBadGateway, "the request may have run", kNoRetry},
 }};
 
 }  // namespace
--- a/src/gateway/AnswerRelay.cpp
+++ b/src/gateway/AnswerRelay.cpp
@@ -1,5 +1,6 @@
 #include "include/gateway/AnswerRelay.h"
 
+#include "include/base/HttpStatus.h"
 #include "include/gateway/HttpText.h"
 
 #include <boost/beast/http/status.hpp>
@@ -12,8 +13,8 @@
 
 namespace {
 
-constexpr size_t kWholeAnswerBytes = size_t{256} * 1024;  // Larger answers are passed on in pieces.
-constexpr unsigned kFirstFailure = 500;
+// Larger answers are passed on in pieces, since they would fill a box's memory. A choice.
+constexpr size_t kWholeAnswerBytes = size_t{256} * 1024;
 
 // Whether a status tells a caller that the request did not run. An upstream that ran it may use
 // them all the same; then they must not reach the caller.
@@ -34,7 +35,7 @@
     if (PromisesNotRun(exchange.head().result()) || !facts.authentic) {
         return AttemptEnd::kUnclear;
     }
-    const bool failed = exchange.head().result_int() >= kFirstFailure;
+    const bool failed = exchange.head().result_int() >= HttpStatus::kFirstServerError;
     return failed ? AttemptEnd::kFailed : AttemptEnd::kAnswered;
 }
 
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -63,7 +63,8 @@
     const GatewaySettings& settings = m_context.settings;
     const Route& route = *m_request.admission.route;
     const Millis maxIdle = route.repeatable ? settings.idleConnection : settings.onceConnection;
-    const ConnectionBounds bounds = ConnectionBounds::For(route.objective, settings.connectTimeout);
+    const ConnectionBounds bounds =
+        ConnectionBounds::ForObjective(route.objective, settings.connectTimeout);
     const Result<bool> connected = co_await m_exchange->connect(maxIdle, bounds);
     const auto age = m_context.configuration.age(ReadClocks().mono);
     co_return connected.has_value() && !m_caller.gone() && MaySend(settings.admission, route, age);
--- a/src/gateway/CallerServer.cpp
+++ b/src/gateway/CallerServer.cpp
@@ -1,5 +1,6 @@
 #include "include/gateway/CallerServer.h"
 
+#include "include/base/HttpStatus.h"
 #include "include/gateway/HttpText.h"
 #include "include/gateway/RequestHandler.h"
 
@@ -7,18 +8,14 @@
 
 namespace {
 
-constexpr unsigned kBadRequest = 400;
-constexpr unsigned kRequestTimeout = 408;
-constexpr unsigned kPayloadTooLarge = 413;
-
 unsigned StatusOf(ReadEnd end) {
     switch (end) {
         case ReadEnd::kTooLarge:
-            return kPayloadTooLarge;
+            return HttpStatus::kPayloadTooLarge;
         case ReadEnd::kSlow:
-            return kRequestTimeout;
+            return HttpStatus::kRequestTimeout;
         default:
-            return kBadRequest;
+            return HttpStatus::kBadRequest;
     }
 }
 
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -182,7 +182,7 @@
     if (newcomers.empty()) {
         return;
     }
-    sendToMany(Audience::kAll, EncodeMessage(ListOf(newcomers)));
+    sendToMany(linksTo(Audience::kAll), EncodeMessage(ListOf(newcomers)));
 }
 
 void PeerMesh::sendTo(const std::string& address, std::string frame) {
@@ -196,13 +196,18 @@
 }
 
 // A link that takes no more is closed while it is sent to, so the links are not walked themselves.
-void PeerMesh::sendToMany(Audience audience, const std::string& frame) {
+std::vector<std::shared_ptr<FrameLink>> PeerMesh::linksTo(Audience audience) const {
     std::vector<std::shared_ptr<FrameLink>> links;
     for (const auto& [address, peer] : m_links) {
         if (audience == Audience::kAll || m_boxes->isNeighbour(address)) {
             links.push_back(peer.link);
         }
     }
+    return links;
+}
+
+void PeerMesh::sendToMany(std::span<const std::shared_ptr<FrameLink>> links,
+                          const std::string& frame) {
     for (const auto& link : links) {
         link->sendEncoded(frame);
     }
@@ -268,7 +273,7 @@
     }
 }
 
-void PeerMesh::sendDigest(const PeerCounts::Counts& counts) {
+wire::DigestT PeerMesh::digestOf(const PeerCounts::Counts& counts) {
     wire::DigestT digest;
     digest.sequence = ++m_sequence;
     for (const auto& [upstream, count] : counts) {
@@ -278,16 +283,18 @@
     for (const CacheHolding& holding : m_upstreams.takeAnnouncements()) {
         digest.cached.emplace_back(holding.part, holding.upstream);
     }
+    return digest;
+}
+
+void PeerMesh::sendDigest(const PeerCounts::Counts& counts) {
+    wire::DigestT digest = digestOf(counts);
     // The period is part of the frame whose size it depends on, so the size is taken with any.
     digest.next_ms = static_cast<uint32_t>(kDigestPeriod);
     const size_t size = EncodeMessage(digest).size();
-    const std::vector<std::string> links = linked();
-    const auto neighbours = static_cast<size_t>(std::count_if(
-        links.begin(), links.end(),
-        [this](const std::string& address) { return m_boxes->isNeighbour(address); }));
-    m_digestPeriod = DigestPeriod(kDigestPeriod, neighbours, size, m_settings.digestBudget);
+    const auto neighbours = linksTo(Audience::kNeighbours);
+    m_digestPeriod = DigestPeriod(kDigestPeriod, neighbours.size(), size, m_settings.digestBudget);
     digest.next_ms = static_cast<uint32_t>(m_digestPeriod);
-    sendToMany(Audience::kNeighbours, EncodeMessage(std::move(digest)));
+    sendToMany(neighbours, EncodeMessage(std::move(digest)));
     m_metrics.set("onyx_peer_links", {}, static_cast<double>(m_links.size()));
 }
 
--- a/src/gateway/RequestLog.cpp
+++ b/src/gateway/RequestLog.cpp
@@ -1,5 +1,6 @@
 #include "include/gateway/RequestLog.h"
 
+#include "include/base/HttpStatus.h"
 #include "include/observe/Events.h"
 
 namespace onyx {
@@ -10,8 +11,6 @@
     return value ? "yes" : "no";
 }
 
-constexpr unsigned kFirstServerError = 500;
-
 template <class Number>
 std::string NumberOr(const std::optional<Number>& number, const char* otherwise) {
     return number ? std::to_string(*number) : otherwise;
@@ -109,7 +108,7 @@
     m_metrics.count("onyx_refusals_total",
                     {{"status", std::to_string(refusal.status)}, {"why", refusal.text}});
     // What callers did wrong is no failure of the service.
-    if (refusal.status >= kFirstServerError) {
+    if (refusal.status >= HttpStatus::kFirstServerError) {
         countForBudget(admission, false);
     }
 }
@@ -119,7 +118,8 @@
     const Route& route = *admission.route;
     if (outcome != kCallerGone) {
         const bool inTime = request.firstByte && *request.firstByte <= route.objective;
-        const bool answered = outcome == kAnswered && request.status < kFirstServerError;
+        const bool answered =
+            outcome == kAnswered && request.status < HttpStatus::kFirstServerError;
         countForBudget(&admission, answered && inTime);
     }
     m_metrics.count("onyx_requests_total", {{"outcome", std::string(outcome)}});
--- a/src/gateway/StatusServer.cpp
+++ b/src/gateway/StatusServer.cpp
@@ -1,17 +1,10 @@
 #include "include/gateway/StatusServer.h"
 
+#include "include/base/HttpStatus.h"
 #include "include/observe/Events.h"
 
 namespace onyx {
 
-namespace {
-
-constexpr unsigned kOk = 200;
-constexpr unsigned kNotFound = 404;
-constexpr unsigned kUnavailable = 503;
-
-}  // namespace
-
 StatusServer::StatusServer(const GatewaySettings& settings, const Dialect& dialect,
                            const ConfigurationState& configuration, const Lifecycle& lifecycle,
                            Metrics& metrics, std::function<bool()> ready)
@@ -40,7 +33,9 @@
         logEvent(Event::kReadiness, {{"ready", ready ? "yes" : "no"}});
     }
     const bool known = exchange.request().target() == m_dialect.readinessTarget();
-    const unsigned status = !known ? kNotFound : ready ? kOk : kUnavailable;
+    const unsigned status = !known  ? HttpStatus::kNotFound
+                            : ready ? HttpStatus::kOk
+                                    : HttpStatus::kUnavailable;
     const HttpHeaders headers;
     co_await exchange.respond(status, headers, "text/plain", ready ? "ready" : "not ready");
 }
@@ -51,7 +46,7 @@
     m_metrics.set("onyx_knowledge_age_ms", {}, static_cast<double>(age.value_or(-1)));
     const std::string text = m_metrics.text();
     const HttpHeaders headers;
-    co_await exchange.respond(kOk, headers, "text/plain; version=0.0.4", text);
+    co_await exchange.respond(HttpStatus::kOk, headers, "text/plain; version=0.0.4", text);
 }
 
 }  // namespace onyx
--- a/src/gateway/UpstreamExchange.cpp
+++ b/src/gateway/UpstreamExchange.cpp
@@ -1,5 +1,6 @@
 #include "include/gateway/UpstreamExchange.h"
 
+#include "include/base/HttpStatus.h"
 #include "include/net/SocketTools.h"
 #include "include/observe/Events.h"
 
@@ -19,7 +20,6 @@
 namespace {
 
 constexpr size_t kPieceSize = size_t{16} * 1024;  // Bytes of one read of a body.
-constexpr unsigned kFirstFinalStatus = 200;
 
 std::chrono::milliseconds Left(MonoTime until) {
     const Millis left = until - ReadClocks().mono;
@@ -155,7 +155,7 @@
 
 // An answer names the request that it belongs to; one that declines may name none.
 bool UpstreamExchange::isOurs() const {
-    if (head().result_int() < kFirstFinalStatus) {
+    if (head().result_int() < HttpStatus::kFirstFinal) {
         return false;
     }
     return m_facts.id == m_requestId || (m_facts.id.empty() && m_facts.declined && !m_report.kept);
--- a/src/net/HttpServer.cpp
+++ b/src/net/HttpServer.cpp
@@ -1,5 +1,7 @@
 #include "include/net/HttpServer.h"
 
+#include "include/base/HttpStatus.h"
+
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
@@ -187,7 +189,9 @@
 
 Task<> HttpServer::answerUnreadable(HttpExchange& exchange, beast::error_code why) {
     const bool tooLarge = why == http::error::body_limit || why == http::error::header_limit;
-    const unsigned status = tooLarge ? 413 : why == beast::error::timeout ? 408 : 400;
+    const unsigned status = tooLarge                       ? HttpStatus::kPayloadTooLarge
+                            : why == beast::error::timeout ? HttpStatus::kRequestTimeout
+                                                           : HttpStatus::kBadRequest;
     const std::string body =
         R"({"type":"bad-request","title":"the request could not be read: )" + why.message() + "\"}";
     const HttpHeaders headers = {{"Onyx-Outcome", "not-run"}};
--- a/src/relay/AttemptBounds.cpp
+++ b/src/relay/AttemptBounds.cpp
@@ -4,7 +4,7 @@
 
 namespace onyx {
 
-ConnectionBounds ConnectionBounds::For(Millis objective, Millis maxConnect) {
+ConnectionBounds ConnectionBounds::ForObjective(Millis objective, Millis maxConnect) {
     ConnectionBounds bounds;
     bounds.connect = std::min(maxConnect, std::max(kMinConnect, objective / 4));
     bounds.unacknowledged = std::clamp(objective / 2, kMinUnacknowledged, kMaxUnacknowledged);
--- a/src/store/StoreWatch.cpp
+++ b/src/store/StoreWatch.cpp
@@ -1,5 +1,6 @@
 #include "include/store/StoreWatch.h"
 
+#include "include/base/HttpStatus.h"
 #include "include/freshness/KnowledgeAge.h"
 #include "include/freshness/StorePacing.h"
 
@@ -21,8 +22,6 @@
 constexpr Millis kConnectTimeout = 1000;  // A choice: one lost packet of the opening is sent again.
 // Far above any list; bounds what a broken answer can cost.
 constexpr uint64_t kMaxAnswerBytes = uint64_t{64} << 20;
-constexpr unsigned kOk = 200;
-constexpr unsigned kGone = 410;
 
 }  // namespace
 
@@ -125,7 +124,7 @@
     if (answer.has_error()) {
         co_return answer.error();
     }
-    if (answer.value().status != kOk) {
+    if (answer.value().status != HttpStatus::kOk) {
         co_return badStatus("store.list", answer.value().status);
     }
     co_return m_dialect.readPage(m_settings.kind, answer.value().body);
@@ -180,11 +179,11 @@
     if (answer.has_error()) {
         co_return answer.error();
     }
-    if (answer.value().status == kGone) {
+    if (answer.value().status == HttpStatus::kGone) {
         m_listed = false;
         co_return true;
     }
-    if (answer.value().status != kOk) {
+    if (answer.value().status != HttpStatus::kOk) {
         co_return badStatus("store.watch", answer.value().status);
     }
     co_return co_await takeChanges(answer.value().body, sent, wait);
--- a/tests/AttemptBoundsTest.cpp
+++ b/tests/AttemptBoundsTest.cpp
@@ -14,15 +14,15 @@
 }  // namespace
 
 TEST_CASE("An attempt finds a silent upstream in a part of the route's objective") {
-    const ConnectionBounds urgent = ConnectionBounds::For(100, 300);
+    const ConnectionBounds urgent = ConnectionBounds::ForObjective(100, 300);
     CHECK(urgent.connect == 100);
     CHECK(urgent.unacknowledged == 300);
-    const ConnectionBounds patient = ConnectionBounds::For(1200, 300);
+    const ConnectionBounds patient = ConnectionBounds::ForObjective(1200, 300);
     CHECK(patient.connect == 300);
     CHECK(patient.unacknowledged == 600);
-    CHECK(ConnectionBounds::For(10000, 300).unacknowledged == 700);
+    CHECK(ConnectionBounds::ForObjective(10000, 300).unacknowledged == 700);
     // The setting is the most, also below the usual least.
-    CHECK(ConnectionBounds::For(1200, 50).connect == 50);
+    CHECK(ConnectionBounds::ForObjective(1200, 50).connect == 50);
 }
 
 TEST_CASE("The last attempt waits until the deadline, an earlier one leaves time for another") {
