--- a/include/gateway/Gateway.h
+++ b/include/gateway/Gateway.h
@@ -2,7 +2,8 @@
 // object store says. It only makes the parts and connects them; who owns which state:
 //
 //   ConfigurationState  the configuration in force and its age
-//   UpstreamState       upstreams: list, health, loads, caches, kept connections
+//   UpstreamList        the list of upstreams and its age
+//   UpstreamRecords     their health, loads and caches, kept connections
 //   Lifecycle           how far this box's life has come, requests under way
 //   RetryAllowances     this box's part of the retry budget
 //   StoreController     the watches of the store and whether it answers
@@ -66,7 +67,8 @@
     const GatewaySettings& m_settings;
     Metrics m_metrics;
     ConfigurationState m_configuration;
-    UpstreamState m_upstreams;
+    UpstreamRecords m_records;
+    UpstreamList m_upstreams;
     Lifecycle m_lifecycle;
     RetryAllowances m_retries;
     RequestLog m_log;
--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "include/gateway/GatewaySettings.h"
-#include "include/gateway/UpstreamState.h"
+#include "include/gateway/UpstreamRecords.h"
 #include "include/membership/BoxDirectory.h"
 #include "include/observe/Metrics.h"
 #include "include/wire/FrameLink.h"
@@ -31,8 +31,8 @@
         std::function<void(const std::string& from, const wire::KnowledgeReplyT&)> onReply;
     };
 
-    // Preconditions: context, settings, upstreams and metrics outlive the mesh.
-    PeerMesh(asio::io_context& io, const GatewaySettings& settings, UpstreamState& upstreams,
+    // Preconditions: context, settings, records and metrics outlive the mesh.
+    PeerMesh(asio::io_context& io, const GatewaySettings& settings, UpstreamRecords& records,
              Metrics& metrics, Sink sink);
 
     // Listens and begins to dial. Errors: kUnavailable if the address cannot be bound.
@@ -102,7 +102,7 @@
 
     asio::io_context& m_io;
     const GatewaySettings& m_settings;
-    UpstreamState& m_upstreams;
+    UpstreamRecords& m_records;
     Metrics& m_metrics;
     Sink m_sink;
     Tcp::acceptor m_acceptor;
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -34,7 +34,7 @@
 public:
     // Preconditions: all arguments outlive it.
     PeerSync(const GatewaySettings& settings, const Dialect& dialect,
-             ConfigurationState& configuration, UpstreamState& upstreams, StoreController& store,
+             ConfigurationState& configuration, UpstreamList& upstreams, StoreController& store,
              PeerMesh& mesh);
 
     // Asks others, for as long as the process lives. Preconditions: called once; mesh and store
@@ -75,7 +75,7 @@
     const GatewaySettings& m_settings;
     const Dialect& m_dialect;
     ConfigurationState& m_configuration;
-    UpstreamState& m_upstreams;
+    UpstreamList& m_upstreams;
     StoreController& m_store;
     PeerMesh& m_mesh;
     PeerKnowledge m_knowledge;
--- a/include/gateway/PlaceAttempt.h
+++ b/include/gateway/PlaceAttempt.h
@@ -4,7 +4,8 @@
 
 #include "include/admission/Admission.h"
 #include "include/gateway/GatewaySettings.h"
-#include "include/gateway/UpstreamState.h"
+#include "include/gateway/UpstreamList.h"
+#include "include/gateway/UpstreamRecords.h"
 
 #include <optional>
 #include <set>
@@ -38,7 +39,8 @@
 // The place of the next attempt among the upstreams that take work, or nothing if there is none.
 // Preconditions: times do not fall. Thread safety: the state's task.
 std::optional<AttemptPlace> PlaceAttempt(const GatewaySettings& settings,
-                                         const UpstreamState& upstreams,
+                                         const UpstreamList& upstreams,
+                                         const UpstreamRecords& records,
                                          const PlacementQuestion& question, MonoTime now);
 
 }  // namespace onyx
--- a/include/gateway/RequestContext.h
+++ b/include/gateway/RequestContext.h
@@ -9,7 +9,8 @@
 #include "include/gateway/GatewaySettings.h"
 #include "include/gateway/PeerMesh.h"
 #include "include/gateway/RequestLog.h"
-#include "include/gateway/UpstreamState.h"
+#include "include/gateway/UpstreamList.h"
+#include "include/gateway/UpstreamRecords.h"
 #include "include/lifecycle/Drain.h"
 
 #include <random>
@@ -22,7 +23,8 @@
     const GatewaySettings& settings;
     const Dialect& dialect;
     const ConfigurationState& configuration;
-    UpstreamState& upstreams;
+    const UpstreamList& upstreams;
+    UpstreamRecords& records;
     RetryAllowances& retries;
     Lifecycle& lifecycle;
     const PeerMesh& mesh;
@@ -33,7 +35,7 @@
 // What admission depends on, as this box knows it. Preconditions: none.
 // Thread safety: the context's.
 inline AdmissionKnowledge KnowledgeOf(const ConfigurationState& configuration,
-                                      const UpstreamState& upstreams, const Lifecycle& lifecycle,
+                                      const UpstreamList& upstreams, const Lifecycle& lifecycle,
                                       MonoTime now) {
     return {lifecycle.refusing(), configuration.catalog(), configuration.age(now),
             upstreams.listed()};
--- a/include/gateway/StoreController.h
+++ b/include/gateway/StoreController.h
@@ -6,7 +6,7 @@
 #include "include/dialect/Dialect.h"
 #include "include/gateway/ConfigurationState.h"
 #include "include/gateway/GatewaySettings.h"
-#include "include/gateway/UpstreamState.h"
+#include "include/gateway/UpstreamList.h"
 #include "include/observe/Metrics.h"
 #include "include/store/StoreWatch.h"
 
@@ -22,7 +22,7 @@
     // Preconditions: all arguments but `facts` outlive the controller.
     StoreController(asio::any_io_executor executor, const GatewaySettings& settings,
                     const Dialect& dialect, ConfigurationState& configuration,
-                    UpstreamState& upstreams, Metrics& metrics,
+                    UpstreamList& upstreams, Metrics& metrics,
                     std::function<StorePacingFacts()> facts);
 
     // Begins to follow the store. Preconditions: called once.
@@ -61,7 +61,7 @@
     const GatewaySettings& m_settings;
     const Dialect& m_dialect;
     ConfigurationState& m_configurationState;
-    UpstreamState& m_upstreamState;
+    UpstreamList& m_upstreamList;
     Metrics& m_metrics;
     std::function<StorePacingFacts()> m_facts;
     Followed m_configuration;
--- a/include/gateway/UpstreamState.h
+++ b/include/gateway/UpstreamRecords.h
@@ -1,20 +1,17 @@
-// Owns all that this box knows of upstreams: the list and its age, their health, loads and caches,
-// and the connections kept to them. What a change of the list means for the others is decided here
-// alone.
+// Owns what this box has seen of upstreams, or heard from other boxes: their health, their loads,
+// what their caches hold, and the connections kept to them. Which upstreams there are:
+// UpstreamList.
 //
-// Relies on the rules of health, placement and routing. The store's watch and other boxes bring the
-// list; attempts bring what they saw; peers bring loads and holdings.
+// Relies on the rules of health and placement. Attempts bring what they saw, PeerMesh what other
+// boxes announce.
 #pragma once
 
-#include "include/freshness/KnowledgeAge.h"
 #include "include/gateway/UpstreamPool.h"
 #include "include/health/UpstreamHealth.h"
 #include "include/placement/CacheDirectory.h"
 #include "include/placement/PeerCounts.h"
 #include "include/placement/UpstreamLoads.h"
-#include "include/routing/UpstreamTable.h"
 
-#include <optional>
 #include <span>
 #include <string>
 #include <string_view>
@@ -22,25 +19,11 @@
 namespace onyx {
 
 // Not thread safe: one io_context.
-class UpstreamState {
+class UpstreamRecords {
 public:
-    UpstreamState(asio::any_io_executor executor, const HealthSettings& health)
+    UpstreamRecords(asio::any_io_executor executor, const HealthSettings& health)
         : m_health(health), m_pool(std::move(executor)) {}
 
-    // Takes in a list or changes of it. `source`: who has them, for the log ("store" or "peer").
-    // Preconditions: times do not fall.
-    void apply(const UpstreamChanges& changes, std::string_view source, MonoTime now);
-
-    // The list holds all changes of before `asOf`. Preconditions: as KnowledgeAge::confirm().
-    void confirm(MonoTime asOf) { m_age.confirm(asOf); }
-
-    // Whether there was a list yet. Preconditions: none.
-    bool listed() const { return m_listed; }
-    // The list. Preconditions: none.
-    const UpstreamTable& table() const { return m_table; }
-    // Its age in milliseconds, or nothing before the first confirmation. Preconditions: none.
-    std::optional<Millis> age(MonoTime now) const { return m_age.age(now); }
-
     // Whether an upstream is ejected. Preconditions: times do not fall.
     bool isEjected(const std::string& id, MonoTime now) const {
         return m_health.isEjected(id, now);
@@ -73,6 +56,11 @@
         m_loads.noteReportedLoad(id, load, now);
     }
 
+    // Forgets an upstream that is gone. Preconditions: none.
+    void forget(const std::string& id);
+    // Closes the connections kept to an upstream that drains. Preconditions: none.
+    void dropConnections(const std::string& id) { m_pool.drop(id); }
+
     // Connections kept between attempts. Preconditions: none.
     UpstreamPool& pool() { return m_pool; }
 
@@ -97,12 +85,6 @@
     void setPeerShare(double share) { m_peerCounts.setShare(share); }
 
 private:
-    void put(const Upstream& upstream, uint64_t revision, std::string_view source, MonoTime now);
-    void remove(const std::string& id, uint64_t revision, std::string_view source);
-
-    UpstreamTable m_table;
-    bool m_listed = false;
-    KnowledgeAge m_age;
     UpstreamHealth m_health;
     UpstreamLoads m_loads;
     PeerCounts m_peerCounts;
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -18,11 +18,11 @@
 Task<AttemptReport> Attempt::run() {
     const std::string& upstream = m_place.upstream.id;
     m_caller.watch([exchange = m_exchange] { exchange->cancel(); });
-    m_context.upstreams.attemptBegan(upstream);
+    m_context.records.attemptBegan(upstream);
     const RelayEnd ended = co_await exchange();
     m_caller.unwatch();
     m_exchange->finish();
-    m_context.upstreams.attemptEnded(upstream);
+    m_context.records.attemptEnded(upstream);
     noteHealth(ended.end);
     AttemptReport report;
     report.upstream = upstream;
@@ -104,13 +104,13 @@
     const MonoTime now = ReadClocks().mono;
     // With the head of a good answer the upstream has read the prompt.
     if (facts.authentic) {
-        m_context.upstreams.notePrompt(m_request.facts.sharedParts, upstream, now);
+        m_context.records.notePrompt(m_request.facts.sharedParts, upstream, now);
     }
     if (!facts.unreadable.empty()) {
         m_context.log.headUnreadable(m_request.facts.id, upstream, facts.unreadable);
     }
     if (facts.load) {
-        m_context.upstreams.noteReportedLoad(upstream, *facts.load, now);
+        m_context.records.noteReportedLoad(upstream, *facts.load, now);
     }
 }
 
@@ -121,7 +121,7 @@
         return;
     }
     const std::string& upstream = m_place.upstream.id;
-    if (m_context.upstreams.noteSign(upstream, *sign, m_start, ReadClocks().mono)) {
+    if (m_context.records.noteSign(upstream, *sign, m_start, ReadClocks().mono)) {
         m_context.log.ejected(upstream, end);
     }
 }
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -15,12 +15,13 @@
 Gateway::Gateway(asio::io_context& io, const GatewaySettings& settings, const Dialect& dialect)
     : m_io(io),
       m_settings(settings),
-      m_upstreams(io.get_executor(), settings.health),
+      m_records(io.get_executor(), settings.health),
+      m_upstreams(m_records),
       m_retries(settings.retry, ReadClocks().mono),
       m_log(m_metrics),
       m_store(io.get_executor(), settings, dialect, m_configuration, m_upstreams, m_metrics,
               [this] { return pacingFacts(); }),
-      m_mesh(io, settings, m_upstreams, m_metrics,
+      m_mesh(io, settings, m_records, m_metrics,
              {[this](const std::string& from, const wire::KnowledgeAskT& ask) {
                   m_sync.onAsk(from, ask);
               },
@@ -28,8 +29,8 @@
                   m_sync.onReply(from, reply);
               }}),
       m_sync(settings, dialect, m_configuration, m_upstreams, m_store, m_mesh),
-      m_context{io,          settings, dialect, m_configuration, m_upstreams, m_retries,
-                m_lifecycle, m_mesh,   m_log},
+      m_context{io,        settings,  dialect,     m_configuration, m_upstreams,
+                m_records, m_retries, m_lifecycle, m_mesh,          m_log},
       m_callers(m_context),
       m_status(settings, dialect, m_configuration, m_lifecycle, m_metrics,
                [this] { return ready(); }) {}
@@ -65,7 +66,7 @@
 Task<> Gateway::trimConnections() {
     while (true) {
         co_await SleepFor(kTrimPeriod);
-        m_upstreams.pool().trim(m_settings.idleConnection, ReadClocks().mono);
+        m_records.pool().trim(m_settings.idleConnection, ReadClocks().mono);
     }
 }
 
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -28,11 +28,11 @@
 
 }  // namespace
 
-PeerMesh::PeerMesh(asio::io_context& io, const GatewaySettings& settings, UpstreamState& upstreams,
+PeerMesh::PeerMesh(asio::io_context& io, const GatewaySettings& settings, UpstreamRecords& records,
                    Metrics& metrics, Sink sink)
     : m_io(io),
       m_settings(settings),
-      m_upstreams(upstreams),
+      m_records(records),
       m_metrics(metrics),
       m_sink(std::move(sink)),
       m_acceptor(io) {
@@ -83,7 +83,7 @@
         m_boxes->forget(now - kForgetAddress,
                         [this](const std::string& address) { return m_links.contains(address); });
         m_boxesKnown = m_boxes->size();
-        m_upstreams.setPeerShare(m_boxes->neighbourShare());
+        m_records.setPeerShare(m_boxes->neighbourShare());
         dialMissing();
         co_await SleepFor(kDialPeriod);
     }
@@ -145,7 +145,7 @@
 }
 
 void PeerMesh::onClosed(FrameLink& link) {
-    m_upstreams.forgetPeer(link.peer().address);
+    m_records.forgetPeer(link.peer().address);
     const auto it = m_links.find(link.peer().address);
     if (it != m_links.end() && it->second.link.get() == &link) {
         m_links.erase(it);
@@ -250,20 +250,20 @@
     }
     const MonoTime now = ReadClocks().mono;
     for (const auto& cached : digest.cached) {
-        m_upstreams.noteHolding({cached.part(), cached.upstream()}, now);
+        m_records.noteHolding({cached.part(), cached.upstream()}, now);
     }
     peer.digestPeriod = static_cast<Millis>(digest.next_ms);
     const Millis believed = std::max(kMinBelieved, kPeriodsBelieved * peer.digestPeriod);
-    m_upstreams.notePeerLoads(address, std::move(counts), now, believed);
+    m_records.notePeerLoads(address, std::move(counts), now, believed);
 }
 
 // Digests go out on changes, as often as the budget of control bytes allows.
 Task<> PeerMesh::announceLoads() {
     while (true) {
         const MonoTime now = ReadClocks().mono;
-        const PeerCounts::Counts counts = m_upstreams.ownLoads();
+        const PeerCounts::Counts counts = m_records.ownLoads();
         const Millis renewal = std::max(kDigestRenewal, m_digestPeriod);
-        const bool changed = counts != m_announced || m_upstreams.hasAnnouncements();
+        const bool changed = counts != m_announced || m_records.hasAnnouncements();
         if (changed || now - m_lastDigest >= renewal) {
             sendDigest(counts);
             m_announced = counts;
@@ -280,7 +280,7 @@
         const auto load = static_cast<uint16_t>(std::min(count, kMaxCount));
         digest.loads.emplace_back(upstream, load, false);
     }
-    for (const CacheHolding& holding : m_upstreams.takeAnnouncements()) {
+    for (const CacheHolding& holding : m_records.takeAnnouncements()) {
         digest.cached.emplace_back(holding.part, holding.upstream);
     }
     return digest;
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -64,7 +64,7 @@
 }  // namespace
 
 PeerSync::PeerSync(const GatewaySettings& settings, const Dialect& dialect,
-                   ConfigurationState& configuration, UpstreamState& upstreams,
+                   ConfigurationState& configuration, UpstreamList& upstreams,
                    StoreController& store, PeerMesh& mesh)
     : m_settings(settings),
       m_dialect(dialect),
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 std::vector<PlacementCandidate> CandidatesOf(std::span<const Upstream* const> takingWork,
-                                             std::string_view ownZone, const UpstreamState& state,
+                                             std::string_view ownZone,
+                                             const UpstreamRecords& records,
                                              const std::set<std::string>& tried, MonoTime now) {
     std::vector<PlacementCandidate> candidates;
     candidates.reserve(takingWork.size());
@@ -16,8 +17,8 @@
         candidate.id = upstream->id;
         candidate.sameZone = upstream->zone.value == ownZone;
         candidate.tried = tried.contains(upstream->id);
-        candidate.ejected = state.isEjected(upstream->id, now);
-        candidate.load = state.load(upstream->id, now);
+        candidate.ejected = records.isEjected(upstream->id, now);
+        candidate.load = records.load(upstream->id, now);
         candidate.slots = upstream->slots;
         candidates.push_back(candidate);
     }
@@ -33,35 +34,37 @@
 }
 
 // The upstream from which `chosen` can fetch the prompt's shared parts, if there is one.
-std::optional<FetchSource> FetchSourceFor(const UpstreamState& state,
+std::optional<FetchSource> FetchSourceFor(const UpstreamList& upstreams,
+                                          const UpstreamRecords& records,
                                           const PlacementQuestion& question, const Upstream& chosen,
                                           MonoTime now) {
     std::vector<CacheCandidate> candidates;
-    std::vector<const Upstream*> upstreams;
-    for (const auto& [id, entry] : state.table().all()) {
+    std::vector<const Upstream*> holders;
+    for (const auto& [id, entry] : upstreams.table().all()) {
         if (entry.upstream.service != question.service) {
             continue;
         }
         const bool settled = now - entry.since >= CacheDirectory::kSettledAfter;
-        candidates.push_back({id, !state.isEjected(id, now), settled});
-        upstreams.push_back(&entry.upstream);
+        candidates.push_back({id, !records.isEjected(id, now), settled});
+        holders.push_back(&entry.upstream);
     }
-    const auto source = state.caches().source(question.sharedParts, chosen.id, candidates, now);
+    const auto source = records.caches().source(question.sharedParts, chosen.id, candidates, now);
     if (!source) {
         return std::nullopt;
     }
-    return FetchSource{*upstreams[source->index], source->reason};
+    return FetchSource{*holders[source->index], source->reason};
 }
 
 }  // namespace
 
 std::optional<AttemptPlace> PlaceAttempt(const GatewaySettings& settings,
-                                         const UpstreamState& upstreams,
+                                         const UpstreamList& upstreams,
+                                         const UpstreamRecords& records,
                                          const PlacementQuestion& question, MonoTime now) {
     const auto takingWork = upstreams.table().takingWork(question.service);
-    const auto candidates = CandidatesOf(takingWork, settings.zone, upstreams, question.tried, now);
+    const auto candidates = CandidatesOf(takingWork, settings.zone, records, question.tried, now);
     const bool model = question.spec != nullptr && question.spec->model;
-    const PlacementPolicy policy = PolicyFor(settings, model, upstreams.loadsAreSampled());
+    const PlacementPolicy policy = PolicyFor(settings, model, records.loadsAreSampled());
     const uint64_t promptHash =
         question.sharedParts.empty() ? question.draw : HashText(question.sharedParts.back());
     const auto chosen = ChooseUpstream(policy, candidates, promptHash, question.draw);
@@ -70,7 +73,7 @@
     }
     AttemptPlace place{*takingWork[chosen->index], chosen->reason, std::nullopt};
     if (question.spec != nullptr && question.spec->fetchesCache) {
-        place.source = FetchSourceFor(upstreams, question, place.upstream, now);
+        place.source = FetchSourceFor(upstreams, records, question, place.upstream, now);
     }
     return place;
 }
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -97,10 +97,10 @@
 
 std::optional<AttemptPlace> RequestHandler::place() {
     const MonoTime now = ReadClocks().mono;
-    m_context.upstreams.expirePeerLoads(now);
+    m_context.records.expirePeerLoads(now);
     const PlacementQuestion question{m_admission.service, m_admission.spec, m_facts.sharedParts,
                                      m_tried, m_draw};
-    return PlaceAttempt(m_context.settings, m_context.upstreams, question, now);
+    return PlaceAttempt(m_context.settings, m_context.upstreams, m_context.records, question, now);
 }
 
 Task<Verdict> RequestHandler::attempt(const AttemptPlace& place) {
--- a/src/gateway/StoreController.cpp
+++ b/src/gateway/StoreController.cpp
@@ -8,13 +8,13 @@
 
 StoreController::StoreController(asio::any_io_executor executor, const GatewaySettings& settings,
                                  const Dialect& dialect, ConfigurationState& configuration,
-                                 UpstreamState& upstreams, Metrics& metrics,
+                                 UpstreamList& upstreams, Metrics& metrics,
                                  std::function<StorePacingFacts()> facts)
     : m_executor(std::move(executor)),
       m_settings(settings),
       m_dialect(dialect),
       m_configurationState(configuration),
-      m_upstreamState(upstreams),
+      m_upstreamList(upstreams),
       m_metrics(metrics),
       m_facts(std::move(facts)) {}
 
@@ -96,10 +96,10 @@
 
 void StoreController::takeUpstreams(const StoreUpdate& update) {
     // What another box had may be ahead of an answer of the store that was on its way.
-    if (update.whole || update.revision >= m_upstreamState.table().revision()) {
-        m_upstreamState.apply(changesOf(update), "store", ReadClocks().mono);
+    if (update.whole || update.revision >= m_upstreamList.table().revision()) {
+        m_upstreamList.apply(changesOf(update), "store", ReadClocks().mono);
     }
-    m_upstreamState.confirm(update.asOf);
+    m_upstreamList.confirm(update.asOf);
 }
 
 UpstreamChanges StoreController::changesOf(const StoreUpdate& update) const {
@@ -119,7 +119,7 @@
             changes.changed.push_back(*upstream);
         } else if (const auto* error = std::get_if<Error>(&object.content)) {
             logEvent(Event::kObjectBad, {{"object", object.name}, {"why", error->text()}});
-            if (const Upstream* known = m_upstreamState.table().find(object.name)) {
+            if (const Upstream* known = m_upstreamList.table().find(object.name)) {
                 changes.changed.push_back(*known);
             }
         }
--- a/src/gateway/UpstreamExchange.cpp
+++ b/src/gateway/UpstreamExchange.cpp
@@ -44,7 +44,7 @@
     if (peer.has_error()) {
         co_return peer.error();
     }
-    m_connection = m_context.upstreams.pool().create();
+    m_connection = m_context.records.pool().create();
     m_context.log.connecting();
     auto& stream = m_connection->stream;
     stream.expires_after(std::chrono::milliseconds(bounds.connect));
@@ -61,7 +61,7 @@
 
 bool UpstreamExchange::takeKept(Millis maxIdle) {
     const MonoTime now = ReadClocks().mono;
-    m_connection = m_context.upstreams.pool().take(m_upstream.id, maxIdle, now);
+    m_connection = m_context.records.pool().take(m_upstream.id, maxIdle, now);
     if (!m_connection) {
         return false;
     }
@@ -265,7 +265,7 @@
         return false;
     }
     m_connection->keepAlive = m_facts.keepAlive.value_or(0);
-    m_context.upstreams.pool().keep(m_upstream.id, std::move(m_connection), ReadClocks().mono);
+    m_context.records.pool().keep(m_upstream.id, std::move(m_connection), ReadClocks().mono);
     return true;
 }
 
--- a/src/gateway/UpstreamState.cpp
+++ b/src/gateway/UpstreamList.cpp
@@ -1,8 +1,7 @@
-#include "include/gateway/UpstreamState.h"
+#include "include/gateway/UpstreamList.h"
 
 #include "include/observe/Events.h"
 
-#include <algorithm>
 #include <set>
 
 namespace onyx {
@@ -37,7 +36,7 @@
 
 }  // namespace
 
-void UpstreamState::apply(const UpstreamChanges& changes, std::string_view source, MonoTime now) {
+void UpstreamList::apply(const UpstreamChanges& changes, std::string_view source, MonoTime now) {
     for (const std::string& id : RemovedBy(changes, m_table)) {
         remove(id, changes.revision, source);
     }
@@ -53,14 +52,14 @@
     }
 }
 
-void UpstreamState::put(const Upstream& upstream, uint64_t revision, std::string_view source,
-                        MonoTime now) {
+void UpstreamList::put(const Upstream& upstream, uint64_t revision, std::string_view source,
+                       MonoTime now) {
     const Upstream* known = m_table.find(upstream.id);
     if (known != nullptr && *known == upstream) {
         return;
     }
     if (upstream.draining) {
-        m_pool.drop(upstream.id);
+        m_records.dropConnections(upstream.id);
     }
     // The first list is one line: a box of a large site would log for a second otherwise.
     if (m_listed) {
@@ -71,31 +70,14 @@
     m_table.put(upstream, since, revision);
 }
 
-void UpstreamState::remove(const std::string& id, uint64_t revision, std::string_view source) {
+void UpstreamList::remove(const std::string& id, uint64_t revision, std::string_view source) {
     if (m_table.find(id) == nullptr) {
         return;
     }
     m_table.remove(id, revision);
-    m_pool.drop(id);
-    m_health.forget(id);
-    m_loads.forget(id);
+    m_records.forget(id);
     logEvent(Event::kUpstreamChanged,
              {{"upstream", id}, {"state", "gone"}, {"source", std::string(source)}});
 }
 
-int UpstreamState::load(const std::string& id, MonoTime now) const {
-    return std::max(m_loads.total(id, now), m_loads.own(id) + m_peerCounts.at(id));
-}
-
-bool UpstreamState::noteSign(const std::string& id, UpstreamSign sign, MonoTime sent,
-                             MonoTime now) {
-    if (!m_health.note(id, sign, sent, now)) {
-        return false;
-    }
-    // Bytes sent on a kept connection may have arrived, those of a connection that does not open
-    // have not: the request that tries this upstream next can still go elsewhere.
-    m_pool.drop(id);
-    return true;
-}
-
 }  // namespace onyx
