--- a/src/gateway/GatewaySettings.cpp
+++ b/src/gateway/GatewaySettings.cpp
@@ -9,6 +9,18 @@
 
 // No time in the settings is longer, in milliseconds.
 constexpr int64_t kDay = 24LL * 3600 * 1000;
+// Bounds of the operators, in milliseconds, where the settings have none: those of the sites so
+// far.
+constexpr Millis kDefaultKeyBound = 5000;    // A revoked credential stops working.
+constexpr Millis kDefaultDrainBound = 2000;  // A draining upstream gets no more work.
+constexpr Millis kDefaultGrace = 8000;       // The process is ended after a stop signal.
+
+// A number of boxes.
+size_t ReadCount(SettingsReader& reader, std::string_view key, size_t otherwise, int64_t least) {
+    constexpr int64_t kMaxBoxes = 100000;  // Of any site.
+    return static_cast<size_t>(
+        reader.number(key, static_cast<int64_t>(otherwise), least, kMaxBoxes));
+}
 
 PlacementPolicy ReadPolicy(SettingsReader& reader, std::string_view key,
                            std::string_view otherwise) {
@@ -40,7 +52,7 @@
 
 AdmissionRules ReadAdmission(SettingsReader& reader) {
     AdmissionRules rules;
-    rules.freshLimit = FreshLimit(reader.number("store.key_bound_ms", 5000, 100, kDay));
+    rules.freshLimit = FreshLimit(reader.number("store.key_bound_ms", kDefaultKeyBound, 100, kDay));
     rules.staleness = ReadStaleness(reader, rules.freshLimit);
     return rules;
 }
@@ -51,14 +63,14 @@
     WatchDelegationSettings& delegation = settings.delegation;
     const Millis wait = ConfigurationWait(settings.admission.freshLimit);
     pacing.configurationWait = reader.number("store.watch_ms", wait, 10, 30000);
-    pacing.upstreamWait = reader.number("store.upstream_watch_ms", 4000, 10, 30000);
-    pacing.pausePerBox = reader.number("store.rest_ms_per_box", 8, 0, 1000);
-    const Millis drainBound = reader.number("store.leaving_bound_ms", 2000, 0, kDay);
+    pacing.upstreamWait = reader.number("store.upstream_watch_ms", pacing.upstreamWait, 10, 30000);
+    pacing.pausePerBox = reader.number("store.rest_ms_per_box", pacing.pausePerBox, 0, 1000);
+    const Millis drainBound = reader.number("store.leaving_bound_ms", kDefaultDrainBound, 0, kDay);
     const FollowerBounds bounds = FitFollowers(drainBound, pacing);
     delegation.maxAge = bounds.maxAge;
     delegation.boxesPerWatcher =
-        static_cast<size_t>(reader.number("followers.boxes_per_watcher", 32, 1, 100000));
-    delegation.minBoxes = static_cast<size_t>(reader.number("followers.least_boxes", 5, 2, 100000));
+        ReadCount(reader, "followers.boxes_per_watcher", delegation.boxesPerWatcher, 1);
+    delegation.minBoxes = ReadCount(reader, "followers.least_boxes", delegation.minBoxes, 2);
     delegation.alone = reader.number("followers.alone_ms", delegation.alone, 0, kDay);
     if (!bounds.leavesTime) {
         delegation.minBoxes = std::numeric_limits<size_t>::max();  // Every box watches.
@@ -66,16 +78,16 @@
 }
 
 RetryAllowanceSettings ReadRetry(SettingsReader& reader) {
-    const Millis window = reader.number("retry.window_ms", 10000, 100, kDay);
-    const double share = reader.real("retry.share", 0.2, 0.0, 1.0);
-    const double slack = reader.real("retry.slack", 0.0, 0.0, 1e9);
-    const int64_t minBoxes =
-        reader.number("retry.boxes", RetryAllowanceSettings::kDefaultMinBoxes, 1, 100000);
-    return RetryAllowanceSettings::Planned(window, share, slack, static_cast<size_t>(minBoxes));
+    const RetryAllowanceSettings defaults;
+    const Millis window = reader.number("retry.window_ms", defaults.window, 100, kDay);
+    const double share = reader.real("retry.share", defaults.share, 0.0, 1.0);
+    const double slack = reader.real("retry.slack", defaults.slack, 0.0, 1e9);
+    const size_t minBoxes = ReadCount(reader, "retry.boxes", defaults.minBoxes, 1);
+    return RetryAllowanceSettings::Planned(window, share, slack, minBoxes);
 }
 
 DrainSettings ReadDrain(SettingsReader& reader) {
-    const Millis grace = reader.number("drain.grace_ms", 8000, 500, kDay);
+    const Millis grace = reader.number("drain.grace_ms", kDefaultGrace, 500, kDay);
     DrainSettings drain;
     drain.accept = reader.number("drain.accept_ms", DrainSettings::DefaultAccept(grace), 0, kDay);
     drain.limit = DrainSettings::LimitOf(grace);
@@ -92,10 +104,12 @@
 }
 
 void ReadUpstreamTimes(SettingsReader& reader, GatewaySettings& settings) {
-    settings.connectTimeout = reader.number("upstream.connect_ms", 300, 10, kDay);
-    settings.stallTimeout = reader.number("upstream.stall_ms", 1500, 10, kDay);
-    settings.idleConnection = reader.number("upstream.idle_ms", 10000, 10, kDay);
-    settings.onceConnection = reader.number("upstream.idle_unrepeatable_ms", 2000, 0, kDay);
+    settings.connectTimeout =
+        reader.number("upstream.connect_ms", settings.connectTimeout, 10, kDay);
+    settings.stallTimeout = reader.number("upstream.stall_ms", settings.stallTimeout, 10, kDay);
+    settings.idleConnection = reader.number("upstream.idle_ms", settings.idleConnection, 10, kDay);
+    settings.onceConnection =
+        reader.number("upstream.idle_unrepeatable_ms", settings.onceConnection, 0, kDay);
 }
 
 }  // namespace
@@ -105,11 +119,12 @@
     settings.box = reader.requiredText("box.name");
     settings.zone = reader.requiredText("box.zone");
     ReadAddresses(reader, settings);
-    settings.digestBudget = reader.number("peers.digest_bytes_per_second", 4000, 50, 100000000);
-    settings.logLevel = reader.text("log.level", "info");
+    settings.digestBudget =
+        reader.number("peers.digest_bytes_per_second", settings.digestBudget, 50, 100000000);
+    settings.logLevel = reader.text("log.level", settings.logLevel);
     settings.admission = ReadAdmission(reader);
     ReadPacing(reader, settings);
-    settings.storeTimeout = reader.number("store.timeout_ms", 1500, 10, kDay);
+    settings.storeTimeout = reader.number("store.timeout_ms", settings.storeTimeout, 10, kDay);
     ReadUpstreamTimes(reader, settings);
     settings.retry = ReadRetry(reader);
     settings.modelPlacement = ReadPolicy(reader, "placement.model", "affinity");
