--- /dev/null
+++ b/src/gateway/PeerMessages.cpp
@@ -0,0 +1,55 @@
+#include "include/gateway/PeerMessages.h"
+
+namespace onyx {
+
+namespace {
+
+std::unique_ptr<wire::UpstreamEntryT> EntryOf(const Upstream& upstream) {
+    auto entry = std::make_unique<wire::UpstreamEntryT>();
+    entry->id = upstream.id;
+    entry->service = upstream.service.value;
+    entry->address = upstream.address;
+    entry->zone = upstream.zone.value;
+    entry->leaving = upstream.draining;
+    entry->slots = upstream.slots;
+    return entry;
+}
+
+Upstream UpstreamOf(const wire::UpstreamEntryT& entry) {
+    return {entry.id,   ServiceId(entry.service), entry.address, ZoneId(entry.zone), entry.leaving,
+            entry.slots};
+}
+
+}  // namespace
+
+std::optional<UpstreamChanges> ChangesOf(const wire::KnowledgeReplyT& reply) {
+    if (!reply.upstreams_told) {
+        return std::nullopt;
+    }
+    UpstreamChanges changes;
+    changes.whole = reply.upstreams_whole;
+    changes.revision = reply.upstreams_revision;
+    changes.removed = reply.removed;
+    for (const auto& entry : reply.upstreams) {
+        if (entry && !entry->id.empty()) {
+            changes.changed.push_back(UpstreamOf(*entry));
+        }
+    }
+    return changes;
+}
+
+void AddUpstreams(const UpstreamTable& table, const wire::KnowledgeAskT& ask,
+                  wire::KnowledgeReplyT& reply) {
+    const UpstreamChanges changes = table.changesSince(ask.upstreams_revision);
+    if (changes.whole && ask.follows) {
+        return;
+    }
+    reply.upstreams_told = true;
+    reply.upstreams_whole = changes.whole;
+    for (const Upstream& upstream : changes.changed) {
+        reply.upstreams.push_back(EntryOf(upstream));
+    }
+    reply.removed = changes.removed;
+}
+
+}  // namespace onyx
--- a/src/observe/Events.cpp
+++ b/src/observe/Events.cpp
@@ -5,106 +5,75 @@
 #include <spdlog/spdlog.h>
 #include <nlohmann/json.hpp>
 
+#include <algorithm>
+#include <iterator>
+
 namespace onyx {
 
+namespace {
+
+struct NamedEvent {
+    Event event;
+    std::string_view name;
+};
+
+// The catalogue's names; a test compares them with the numbers and with docs/EVENTS.md.
+constexpr NamedEvent kNames[] = {
+    {Event::kStarted, "started"},
+    {Event::kStopping, "stopping"},
+    {Event::kTaskFailed, "task-failed"},
+    {Event::kListenFailed, "listen-failed"},
+    {Event::kPeerUp, "peer-up"},
+    {Event::kPeerDown, "peer-down"},
+    {Event::kFrameBad, "frame-bad"},
+    {Event::kPeerVersion, "peer-version"},
+    {Event::kPeerSite, "peer-site"},
+    {Event::kHomesChanged, "homes-changed"},
+    {Event::kConfigInForce, "config-in-force"},
+    {Event::kConfigStale, "config-stale"},
+    {Event::kConfigCorrupt, "config-corrupt"},
+    {Event::kConfigFromPeer, "config-from-peer"},
+    {Event::kPlatformDown, "platform-down"},
+    {Event::kPlatformUp, "platform-up"},
+    {Event::kLeaseHeld, "lease-held"},
+    {Event::kLeaseLost, "lease-lost"},
+    {Event::kRosterChanged, "roster-changed"},
+    {Event::kTakeover, "takeover"},
+    {Event::kStreamResumed, "stream-resumed"},
+    {Event::kStreamBroken, "stream-broken"},
+    {Event::kAnswerCrossed, "answer-crossed"},
+    {Event::kEngineLeaving, "engine-leaving"},
+    {Event::kEngineDown, "engine-down"},
+    {Event::kPreempted, "preempted"},
+    {Event::kDrainStarted, "drain-started"},
+    {Event::kDrainDone, "drain-done"},
+    {Event::kFaultSet, "fault-set"},
+    {Event::kRequestDone, "request-done"},
+    {Event::kRequestRefused, "request-refused"},
+    {Event::kSendEnded, "send-ended"},
+    {Event::kAttemptStarted, "attempt-started"},
+    {Event::kConnectionDropped, "connection-dropped"},
+    {Event::kAnswerHeadBad, "answer-head-bad"},
+    {Event::kCallerBad, "caller-bad"},
+    {Event::kUpstreamChanged, "upstream-changed"},
+    {Event::kUpstreamEjected, "upstream-ejected"},
+    {Event::kObjectBad, "object-bad"},
+    {Event::kUpstreamsListed, "upstreams-listed"},
+    {Event::kStoreDown, "store-down"},
+    {Event::kStoreUp, "store-up"},
+    {Event::kCatalogInForce, "catalog-in-force"},
+    {Event::kServingStale, "serving-stale"},
+    {Event::kFollowing, "following"},
+    {Event::kReadiness, "readiness"},
+    {Event::kReloaded, "reloaded"},
+};
+
+}  // namespace
+
 std::string_view EventName(Event event) {
-    switch (event) {
-        case Event::kStarted:
-            return "started";
-        case Event::kStopping:
-            return "stopping";
-        case Event::kTaskFailed:
-            return "task-failed";
-        case Event::kListenFailed:
-            return "listen-failed";
-        case Event::kPeerUp:
-            return "peer-up";
-        case Event::kPeerDown:
-            return "peer-down";
-        case Event::kFrameBad:
-            return "frame-bad";
-        case Event::kPeerVersion:
-            return "peer-version";
-        case Event::kPeerSite:
-            return "peer-site";
-        case Event::kHomesChanged:
-            return "homes-changed";
-        case Event::kConfigInForce:
-            return "config-in-force";
-        case Event::kConfigStale:
-            return "config-stale";
-        case Event::kConfigCorrupt:
-            return "config-corrupt";
-        case Event::kConfigFromPeer:
-            return "config-from-peer";
-        case Event::kPlatformDown:
-            return "platform-down";
-        case Event::kPlatformUp:
-            return "platform-up";
-        case Event::kLeaseHeld:
-            return "lease-held";
-        case Event::kLeaseLost:
-            return "lease-lost";
-        case Event::kRosterChanged:
-            return "roster-changed";
-        case Event::kTakeover:
-            return "takeover";
-        case Event::kStreamResumed:
-            return "stream-resumed";
-        case Event::kStreamBroken:
-            return "stream-broken";
-        case Event::kAnswerCrossed:
-            return "answer-crossed";
-        case Event::kEngineLeaving:
-            return "engine-leaving";
-        case Event::kEngineDown:
-            return "engine-down";
-        case Event::kPreempted:
-            return "preempted";
-        case Event::kDrainStarted:
-            return "drain-started";
-        case Event::kDrainDone:
-            return "drain-done";
-        case Event::kFaultSet:
-            return "fault-set";
-        case Event::kRequestDone:
-            return "request-done";
-        case Event::kRequestRefused:
-            return "request-refused";
-        case Event::kSendEnded:
-            return "send-ended";
-        case Event::kAttemptStarted:
-            return "attempt-started";
-        case Event::kConnectionDropped:
-            return "connection-dropped";
-        case Event::kAnswerHeadBad:
-            return "answer-head-bad";
-        case Event::kCallerBad:
-            return "caller-bad";
-        case Event::kUpstreamChanged:
-            return "upstream-changed";
-        case Event::kUpstreamEjected:
-            return "upstream-ejected";
-        case Event::kObjectBad:
-            return "object-bad";
-        case Event::kUpstreamsListed:
-            return "upstreams-listed";
-        case Event::kStoreDown:
-            return "store-down";
-        case Event::kStoreUp:
-            return "store-up";
-        case Event::kCatalogInForce:
-            return "catalog-in-force";
-        case Event::kServingStale:
-            return "serving-stale";
-        case Event::kFollowing:
-            return "following";
-        case Event::kReadiness:
-            return "readiness";
-        case Event::kReloaded:
-            return "reloaded";
-    }
-    return "unlisted";
+    const auto* named = std::find_if(std::begin(kNames), std::end(kNames),
+                                     [&](const NamedEvent& row) { return row.event == event; });
+    return named == std::end(kNames) ? "unlisted" : named->name;
 }
 
 void logEvent(Event event, std::initializer_list<EventField> fields) {
--- a/src/routing/Catalog.cpp
+++ b/src/routing/Catalog.cpp
@@ -34,7 +34,7 @@
         return BadRoute(route, "services: expected at least one");
     }
     if (route.timeout <= 0 || route.maxAttempts <= 0) {
-        return BadRoute(route, "timeout and sends: expected more than 0");
+        return BadRoute(route, "timeout and attempts: expected more than 0");
     }
     return true;
 }
--- /dev/null
+++ b/tests/PeerMessagesTest.cpp
@@ -0,0 +1,47 @@
+#include "include/gateway/PeerMessages.h"
+
+#include <catch2/catch.hpp>
+
+using namespace onyx;
+
+namespace {
+
+UpstreamTable SomeTable() {
+    UpstreamTable table;
+    table.put({"a", ServiceId("s"), "127.0.0.1:1", ZoneId("z"), false, 4}, {0}, 5);
+    table.put({"b", ServiceId("s"), "127.0.0.1:2", ZoneId("z"), true, 2}, {0}, 8);
+    table.setRevision(8);
+    return table;
+}
+
+wire::KnowledgeReplyT ReplyTo(const wire::KnowledgeAskT& ask) {
+    wire::KnowledgeReplyT reply;
+    reply.upstreams_revision = 8;
+    AddUpstreams(SomeTable(), ask, reply);
+    return reply;
+}
+
+}  // namespace
+
+TEST_CASE("What a box sends of its upstreams is what another one reads") {
+    const auto changes = ChangesOf(ReplyTo({}));
+    REQUIRE(changes);
+    CHECK(changes->whole);
+    CHECK(changes->revision == 8);
+    REQUIRE(changes->changed.size() == 2);
+    CHECK(changes->changed[0] == SomeTable().all().at("a").upstream);
+    CHECK(changes->changed[1] == SomeTable().all().at("b").upstream);
+}
+
+TEST_CASE("A follower, which can ask the store, is not sent a whole list") {
+    wire::KnowledgeAskT ask;
+    ask.follows = true;
+    CHECK_FALSE(ChangesOf(ReplyTo(ask)).has_value());
+}
+
+TEST_CASE("An entry without an id is passed over") {
+    wire::KnowledgeReplyT reply = ReplyTo({});
+    reply.upstreams.front()->id.clear();
+    reply.upstreams.push_back(nullptr);
+    CHECK(ChangesOf(reply)->changed.size() == 1);
+}
