--- a/include/standin/FakeLink.h
+++ b/include/standin/FakeLink.h
@@ -2,10 +2,9 @@
 // to another, and can be cut: then nothing passes in either direction and connections stay open.
 // What a cut holds is delivered when it is mended, also if its sender has closed its connection
 // meanwhile; if the sender has reset it, what is held is lost.
-// POST /control on its HTTP address with {"cut": true} or {"cut": false}.
 #pragma once
 
-#include "include/net/HttpServer.h"
+#include "include/net/Net.h"
 
 namespace onyx {
 
@@ -26,9 +25,6 @@
     size_t heldBytes() const { return m_held; }
     size_t lostBytes() const { return m_lost; }
 
-    // Serves a control request. Preconditions: called in a coroutine of the context.
-    Task<> handle(HttpExchange& exchange);
-
 private:
     Task<> accept(Tcp::acceptor acceptor);
     Task<> serve(Tcp::socket from);
--- a/modules/standalone/include/standin/FakeEngine.h
+++ b/modules/standalone/include/standin/FakeEngine.h
@@ -1,5 +1,5 @@
 // Stand-in for a model engine: continuous batching, a prefix cache in limited memory, priorities,
-// cancel, resume, late load reports and cache events with gaps. POST /control sets faults.
+// cancel, resume and load reports. POST /control sets faults.
 #pragma once
 
 #include "include/net/HttpServer.h"
@@ -27,7 +27,6 @@
     bool freeze = false;    // Steps stop; connections stay.
     bool leaving = false;   // Says so in its load report.
     bool refuse = false;    // Answers 503 to new requests.
-    Millis loadLag = 0;     // Load reports speak of this long ago.
     int breakAfter = -1;    // Breaks streams off after so many tokens...
     int breakCount = 0;     // ...this many times.
     int crossCount = 0;     // So many answers carry another request's id.
@@ -36,7 +35,6 @@
     int repeatCount = 0;    // So many tokens are sent twice.
     int failCount = 0;      // So many requests get status 500.
     double failShare = 0;   // This share of the requests gets status 500.
-    int eventGap = 0;       // Every so many cache events one is lost.
 };
 
 // Not thread safe: one io_context.
@@ -64,10 +62,6 @@
         std::deque<uint32_t> ready;  // Token indices to send.
         std::shared_ptr<asio::steady_timer> wake;
     };
-    struct LoadAt {
-        MonoTime at;
-        size_t inFlight;
-    };
     using RunPtr = std::shared_ptr<Run>;
 
     Task<> batchLoop();
@@ -76,10 +70,8 @@
     Task<> handleChat(HttpExchange& exchange);
     Task<> stream(HttpExchange& exchange, RunPtr run, bool crossed);
     Task<> handleLoad(HttpExchange& exchange);
-    Task<> handleCacheEvents(HttpExchange& exchange);
     Task<> handleControl(HttpExchange& exchange);
     uint32_t lookUp(const std::string& key, uint32_t tokens);
-    void recordLoad();
 
     asio::io_context& m_context;
     FakeEngineSettings m_settings;
@@ -88,9 +80,6 @@
     std::vector<RunPtr> m_waiting;
     std::list<std::pair<std::string, uint32_t>> m_cache;  // Most recent first.
     size_t m_cacheUsed = 0;
-    uint64_t m_cacheSequence = 0;
-    std::deque<std::pair<uint64_t, std::string>> m_cacheEvents;
-    std::deque<LoadAt> m_loads;
     uint64_t m_served = 0;
     uint64_t m_requests = 0;
     uint64_t m_cancelled = 0;
--- a/modules/standalone/include/standin/FakePlatform.h
+++ b/modules/standalone/include/standin/FakePlatform.h
@@ -4,7 +4,6 @@
 
 #include "include/net/HttpServer.h"
 
-#include <deque>
 #include <map>
 #include <memory>
 #include <string>
@@ -12,15 +11,10 @@
 
 namespace onyx {
 
-// What the stand-in may be told to do wrong, and its limits.
+// What the stand-in may be told to do wrong.
 struct FakePlatformFaults {
     bool outage = false;  // Every call is refused with 503.
-    bool hang = false;    // Every call waits until this is taken back.
-    Millis delay = 0;     // Before each answer.
     int loseAnswers = 0;  // So many writes take effect and close the connection.
-    double writesPerSecond = 100;
-    double readsPerSecond = 2000;
-    Millis boxListLag = 0;
 };
 
 // Not thread safe: one io_context.
@@ -46,11 +40,6 @@
         uint64_t version = 0;
         std::string value;
     };
-    struct ListedAt {
-        MonoTime at;
-        uint64_t version = 0;
-        std::vector<Box> boxes;
-    };
     // A token bucket of one second.
     struct Rate {
         double left = 0;
@@ -62,7 +51,6 @@
     Task<> handlePut(HttpExchange& exchange, std::string path, uint64_t expect);
     Task<> handleWatch(HttpExchange& exchange, std::string path, std::string query);
     Task<> handleBoxes(HttpExchange& exchange, std::string rest, std::string query);
-    void dropOldLists();
     Task<> handleControl(HttpExchange& exchange);
     Task<> sendObject(HttpExchange& exchange, const Object& object);
     void relist();
@@ -73,8 +61,7 @@
     std::map<std::string, Object> m_saved;  // For "restored to an older version".
     uint64_t m_lastVersion = 0;
     std::vector<Box> m_boxes;
-    std::deque<ListedAt> m_lists;
-    uint64_t m_listVersion = 0;
+    uint64_t m_listVersion = 1;
     Rate m_writeRate;
     Rate m_readRate;
     uint64_t m_calls = 0;
--- a/modules/standalone/include/standin/FakeService.h
+++ b/modules/standalone/include/standin/FakeService.h
@@ -14,8 +14,6 @@
     Millis delay = 0;     // Between execution and answer.
     int loseAnswers = 0;  // So many requests are executed and get no answer.
     int failCount = 0;    // So many requests get status 500 without execution.
-    bool checkFence =
-        false;  // Orders with a lower fencing token than the highest seen are refused.
 };
 
 // Not thread safe: one io_context.
@@ -29,7 +27,6 @@
 
     FakeServiceFaults m_faults;
     std::map<std::string, int> m_executions;
-    uint64_t m_highestFence = 0;
     uint64_t m_total = 0;
 };
 
--- a/modules/standalone/src/standin/FakeEngine.cpp
+++ b/modules/standalone/src/standin/FakeEngine.cpp
@@ -18,8 +18,6 @@
 namespace {
 
 constexpr std::string_view kJson = "application/json";
-constexpr Millis kLoadsKept = 10000;
-constexpr size_t kEventsKept = 4096;
 
 uint32_t TokensIn(std::string_view text) {
     return static_cast<uint32_t>(text.size() / 4 + 1);
@@ -72,15 +70,6 @@
     }
     std::erase_if(m_batch,
                   [](const RunPtr& run) { return run->cancelled || run->next >= run->end; });
-    recordLoad();
-}
-
-void FakeEngine::recordLoad() {
-    const MonoTime now = ReadClocks().mono;
-    m_loads.push_back({now, m_batch.size() + m_waiting.size()});
-    while (now - m_loads.front().at > kLoadsKept) {
-        m_loads.pop_front();
-    }
 }
 
 uint32_t FakeEngine::lookUp(const std::string& key, uint32_t tokens) {
@@ -95,16 +84,9 @@
     m_cache.emplace_front(key, tokens);
     m_cacheUsed += tokens;
     while (m_cacheUsed > m_settings.cacheTokens && m_cache.size() > 1) {
-        ++m_cacheSequence;
-        if (m_faults.eventGap == 0 || m_cacheSequence % m_faults.eventGap != 0) {
-            m_cacheEvents.emplace_back(m_cacheSequence, m_cache.back().first);
-        }
         m_cacheUsed -= m_cache.back().second;
         m_cache.pop_back();
     }
-    while (m_cacheEvents.size() > kEventsKept) {
-        m_cacheEvents.pop_front();
-    }
     return cached;
 }
 
@@ -114,8 +96,6 @@
         co_await handleChat(exchange);
     } else if (target == "/v1/load") {
         co_await handleLoad(exchange);
-    } else if (target.starts_with("/v1/cache_events")) {
-        co_await handleCacheEvents(exchange);
     } else if (target == "/control") {
         co_await handleControl(exchange);
     } else {
@@ -158,7 +138,6 @@
         static_cast<Millis>(m_settings.prefillPerToken * (run->promptTokens - run->cachedTokens));
     run->wake = std::make_shared<asio::steady_timer>(m_context);
     m_waiting.push_back(run);
-    recordLoad();
     exchange.watchCaller([this, run] {
         run->cancelled = true;
         ++m_cancelled;
@@ -232,32 +211,12 @@
 }
 
 Task<> FakeEngine::handleLoad(HttpExchange& exchange) {
-    const MonoTime then = ReadClocks().mono - m_faults.loadLag;
-    size_t load = 0;
-    for (const LoadAt& sample : m_loads) {
-        if (sample.at <= then) {
-            load = sample.inFlight;
-        }
-    }
-    const json body = {
-        {"in_flight", load}, {"leaving", m_faults.leaving}, {"age_ms", m_faults.loadLag}};
+    const json body = {{"in_flight", m_batch.size() + m_waiting.size()},
+                       {"leaving", m_faults.leaving},
+                       {"age_ms", 0}};
     co_await exchange.respond(200, {}, kJson, body.dump());
 }
 
-Task<> FakeEngine::handleCacheEvents(HttpExchange& exchange) {
-    const std::string target(exchange.request().target());
-    const size_t mark = target.find("after=");
-    const uint64_t after =
-        mark == std::string::npos ? 0 : std::strtoull(target.c_str() + mark + 6, nullptr, 10);
-    json events = json::array();
-    for (const auto& [sequence, key] : m_cacheEvents) {
-        if (sequence > after) {
-            events.push_back({{"sequence", sequence}, {"evicted", key}});
-        }
-    }
-    co_await exchange.respond(200, {}, kJson, events.dump());
-}
-
 Task<> FakeEngine::handleControl(HttpExchange& exchange) {
     const std::string text = exchange.request().body();
     const json body = json::parse(text.empty() ? "{}" : text, nullptr, false);
@@ -268,7 +227,6 @@
     m_faults.freeze = body.value("freeze", m_faults.freeze);
     m_faults.leaving = body.value("leaving", m_faults.leaving);
     m_faults.refuse = body.value("refuse", m_faults.refuse);
-    m_faults.loadLag = body.value("load_lag_ms", m_faults.loadLag);
     m_faults.breakAfter = body.value("break_after", m_faults.breakAfter);
     m_faults.breakCount = body.value("break_count", m_faults.breakCount);
     m_faults.crossCount = body.value("cross_count", m_faults.crossCount);
@@ -277,7 +235,6 @@
     m_faults.repeatCount = body.value("repeat_count", m_faults.repeatCount);
     m_faults.failCount = body.value("fail_count", m_faults.failCount);
     m_faults.failShare = body.value("fail_share", m_faults.failShare);
-    m_faults.eventGap = body.value("event_gap", m_faults.eventGap);
     if (!text.empty()) {
         logEvent(Event::kFaultSet, {{"body", text}});
     }
--- a/modules/standalone/src/standin/FakePlatform.cpp
+++ b/modules/standalone/src/standin/FakePlatform.cpp
@@ -15,6 +15,9 @@
 namespace {
 
 constexpr Millis kWatchStep = 20;
+// What the operators' object API takes.
+constexpr double kWritesPerSecond = 100;
+constexpr double kReadsPerSecond = 2000;
 constexpr std::string_view kJson = "application/json";
 
 uint64_t QueryNumber(const std::string& query, const std::string& name, uint64_t otherwise) {
@@ -45,16 +48,7 @@
 }
 
 void FakePlatform::relist() {
-    m_lists.push_back({ReadClocks().mono, ++m_listVersion, m_boxes});
-    dropOldLists();
-}
-
-// The list lags: an older one is shown until it is old enough.
-void FakePlatform::dropOldLists() {
-    const MonoTime now = ReadClocks().mono;
-    while (m_lists.size() > 1 && m_lists[1].at <= now - m_faults.boxListLag) {
-        m_lists.pop_front();
-    }
+    ++m_listVersion;
 }
 
 Task<> FakePlatform::handle(HttpExchange& exchange) {
@@ -67,16 +61,10 @@
         co_return;
     }
     ++m_calls;
-    while (m_faults.hang) {
-        co_await SleepFor(kWatchStep);
-    }
-    if (m_faults.delay > 0) {
-        co_await SleepFor(m_faults.delay);
-    }
     const bool writes = exchange.request().method() != boost::beast::http::verb::get;
     const MonoTime now = ReadClocks().mono;
-    const bool allowed = writes ? m_writeRate.take(m_faults.writesPerSecond, now)
-                                : m_readRate.take(m_faults.readsPerSecond, now);
+    const bool allowed =
+        writes ? m_writeRate.take(kWritesPerSecond, now) : m_readRate.take(kReadsPerSecond, now);
     if (m_faults.outage || !allowed) {
         ++m_refused;
         co_await exchange.respond(m_faults.outage ? 503 : 429, {}, kJson, "{}");
@@ -145,7 +133,7 @@
     const MonoTime end = ReadClocks().mono + wait;
     while (ReadClocks().mono < end && !m_faults.outage) {
         const auto it = m_objects.find(path);
-        if (it != m_objects.end() && it->second.version != known && !m_faults.hang) {
+        if (it != m_objects.end() && it->second.version != known) {
             const Object object = it->second;
             co_await sendObject(exchange, object);
             co_return;
@@ -170,23 +158,18 @@
         co_await exchange.respond(200, {}, kJson, "{}");
         co_return;
     }
-    if (m_lists.empty()) {
-        relist();
-    }
-    dropOldLists();
-    const ListedAt& shown = m_lists.front();
-    if (QueryNumber(query, "known", 0) == shown.version) {
+    if (QueryNumber(query, "known", 0) == m_listVersion) {
         co_await exchange.respond(204, {}, kJson, "");
         co_return;
     }
     json list = json::array();
-    for (const Box& box : shown.boxes) {
+    for (const Box& box : m_boxes) {
         list.push_back({{"name", box.name},
                         {"zone", box.zone},
                         {"address", box.address},
                         {"leaving", box.leaving}});
     }
-    const json body = {{"version", shown.version}, {"boxes", list}};
+    const json body = {{"version", m_listVersion}, {"boxes", list}};
     co_await exchange.respond(200, {}, kJson, body.dump());
 }
 
@@ -198,12 +181,7 @@
         co_return;
     }
     m_faults.outage = body.value("outage", m_faults.outage);
-    m_faults.hang = body.value("hang", m_faults.hang);
-    m_faults.delay = body.value("delay_ms", m_faults.delay);
     m_faults.loseAnswers = body.value("lose_answers", m_faults.loseAnswers);
-    m_faults.writesPerSecond = body.value("writes_per_second", m_faults.writesPerSecond);
-    m_faults.readsPerSecond = body.value("reads_per_second", m_faults.readsPerSecond);
-    m_faults.boxListLag = body.value("box_list_lag_ms", m_faults.boxListLag);
     if (body.value("save", false)) {
         m_saved = m_objects;
     }
@@ -214,11 +192,6 @@
         const json& box = body["add_box"];
         addBox({box.value("name", ""), box.value("zone", ""), box.value("address", ""), false});
     }
-    if (body.contains("remove_box")) {
-        const auto name = body["remove_box"].get<std::string>();
-        std::erase_if(m_boxes, [&](const Box& box) { return box.name == name; });
-        relist();
-    }
     if (!text.empty()) {
         logEvent(Event::kFaultSet, {{"body", text}});
     }
--- a/modules/standalone/src/standin/FakeService.cpp
+++ b/modules/standalone/src/standin/FakeService.cpp
@@ -4,8 +4,6 @@
 
 #include <nlohmann/json.hpp>
 
-#include <cstdlib>
-
 namespace onyx {
 
 using nlohmann::json;
@@ -26,16 +24,6 @@
         co_return;
     }
     const std::string key(exchange.header("Idempotency-Key"));
-    const std::string fence(exchange.header("X-Fence"));
-    if (m_faults.checkFence && !fence.empty()) {
-        const uint64_t epoch = std::strtoull(fence.c_str(), nullptr, 10);
-        if (epoch < m_highestFence) {
-            const HttpHeaders notRun = {{"X-Not-Run", "1"}};
-            co_await exchange.respond(412, notRun, kJson, R"({"error":"fence"})");
-            co_return;
-        }
-        m_highestFence = epoch;
-    }
     if (m_faults.failCount > 0) {
         --m_faults.failCount;
         co_await exchange.respond(500, {}, kJson, R"({"error":"failed"})");
@@ -66,7 +54,6 @@
     m_faults.delay = body.value("delay_ms", m_faults.delay);
     m_faults.loseAnswers = body.value("lose_answers", m_faults.loseAnswers);
     m_faults.failCount = body.value("fail_count", m_faults.failCount);
-    m_faults.checkFence = body.value("check_fence", m_faults.checkFence);
     if (!text.empty()) {
         logEvent(Event::kFaultSet, {{"body", text}});
     }
--- a/src/standin/StandinMain.cpp
+++ b/modules/standalone/src/standin/StandinMain.cpp
@@ -1,4 +1,4 @@
-#include "include/standin/StandinMain.h"
+#include "modules/standalone/include/standin/StandinMain.h"
 
 #include "include/net/Program.h"
 #include "include/observe/Events.h"
--- a/modules/standalone/tools/onyx-fake-engine.cpp
+++ b/modules/standalone/tools/onyx-fake-engine.cpp
@@ -1,7 +1,7 @@
 // onyx-fake-engine: stand-in for a model engine.
 #include "include/net/Program.h"
-#include "include/standin/StandinMain.h"
 #include "modules/standalone/include/standin/FakeEngine.h"
+#include "modules/standalone/include/standin/StandinMain.h"
 
 #include <CLI/CLI.hpp>
 
--- a/modules/standalone/tools/onyx-fake-platform.cpp
+++ b/modules/standalone/tools/onyx-fake-platform.cpp
@@ -1,7 +1,7 @@
 // onyx-fake-platform: stand-in for the platform's object API.
 #include "include/net/Program.h"
-#include "include/standin/StandinMain.h"
 #include "modules/standalone/include/standin/FakePlatform.h"
+#include "modules/standalone/include/standin/StandinMain.h"
 
 #include <CLI/CLI.hpp>
 
--- a/modules/standalone/tools/onyx-fake-service.cpp
+++ b/modules/standalone/tools/onyx-fake-service.cpp
@@ -1,7 +1,7 @@
 // onyx-fake-service: stand-in for a plain service.
 #include "include/net/Program.h"
-#include "include/standin/StandinMain.h"
 #include "modules/standalone/include/standin/FakeService.h"
+#include "modules/standalone/include/standin/StandinMain.h"
 
 #include <CLI/CLI.hpp>
 
--- a/src/standin/FakeLink.cpp
+++ b/src/standin/FakeLink.cpp
@@ -1,12 +1,10 @@
 #include "include/standin/FakeLink.h"
 
 #include "include/net/SocketTools.h"
-#include "include/observe/Events.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
-#include <nlohmann/json.hpp>
 
 #include <array>
 
@@ -94,13 +92,4 @@
     co_return !reset;
 }
 
-Task<> FakeLink::handle(HttpExchange& exchange) {
-    const auto body = nlohmann::json::parse(exchange.request().body(), nullptr, false);
-    if (body.is_object()) {
-        m_cut = body.value("cut", m_cut);
-        logEvent(Event::kFaultSet, {{"body", exchange.request().body()}});
-    }
-    co_await exchange.respond(200, {}, "application/json", "{}");
-}
-
 }  // namespace onyx
