--- a/include/observe/Events.h
+++ b/include/observe/Events.h
@@ -45,7 +45,7 @@
     kFaultSet = 1900,
     kRequestDone = 2000,
     kRequestRefused = 2001,
-    kSendEnded = 2002,
+    kAttemptEnded = 2002,
     kCallerBad = 2003,
     kAttemptStarted = 2004,
     kConnectionDropped = 2005,
--- a/src/gateway/RequestLog.cpp
+++ b/src/gateway/RequestLog.cpp
@@ -71,18 +71,19 @@
         return;
     }
     const ConnectionReport& connection = report.connection;
-    logEvent(Event::kSendEnded, {{"request", request},
-                                 {"upstream", report.upstream},
-                                 {"end", end},
-                                 {"timed_out", YesNo(report.timedOut)},
-                                 {"unreachable", YesNo(report.unreachable)},
-                                 {"took_ms", std::to_string(report.took)},
-                                 {"connection", connection.kept ? "kept" : "new"},
-                                 {"rested_ms", std::to_string(connection.idle)},
-                                 {"ended_by", std::string(ConnectionEndName(connection.end))},
-                                 {"unacknowledged", NumberOr(connection.unacknowledged, "unknown")},
-                                 {"retried", YesNo(verdict.step == NextStep::kRetry)},
-                                 {"why", std::string(StepReasonName(verdict.reason))}});
+    logEvent(Event::kAttemptEnded,
+             {{"request", request},
+              {"upstream", report.upstream},
+              {"end", end},
+              {"timed_out", YesNo(report.timedOut)},
+              {"unreachable", YesNo(report.unreachable)},
+              {"took_ms", std::to_string(report.took)},
+              {"connection", connection.kept ? "kept" : "new"},
+              {"rested_ms", std::to_string(connection.idle)},
+              {"ended_by", std::string(ConnectionEndName(connection.end))},
+              {"unacknowledged", NumberOr(connection.unacknowledged, "unknown")},
+              {"retried", YesNo(verdict.step == NextStep::kRetry)},
+              {"why", std::string(StepReasonName(verdict.reason))}});
 }
 
 // What is not known of a request that was not admitted counts as "unknown".
--- a/src/observe/Events.cpp
+++ b/src/observe/Events.cpp
@@ -50,7 +50,7 @@
     {Event::kFaultSet, "fault-set"},
     {Event::kRequestDone, "request-done"},
     {Event::kRequestRefused, "request-refused"},
-    {Event::kSendEnded, "send-ended"},
+    {Event::kAttemptEnded, "send-ended"},
     {Event::kAttemptStarted, "attempt-started"},
     {Event::kConnectionDropped, "connection-dropped"},
     {Event::kAnswerHeadBad, "answer-head-bad"},
