--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -91,7 +91,7 @@
 
     // Takes in what an attempt that began at `sent` saw of its upstream; true if that is ejected
     // from now on. Preconditions: sent <= now, which does not fall.
-    bool noteSign(const std::string& id, UpstreamSign sign, MonoTime sent, MonoTime now);
+    bool noteSign(const std::string& id, HealthSignal sign, MonoTime sent, MonoTime now);
 
     // What upstreams ask for in their answers. Preconditions: none.
     UpstreamAvoidance& avoidance() { return m_avoidance; }
--- a/include/health/AttemptSign.h
+++ b/include/health/AttemptHealthSignal.h
@@ -12,17 +12,17 @@
 // The sign that an attempt which ended with `end` gives, or nothing if it says nothing of the
 // upstream's health. `unreachable`: the network to the upstream is cut, so other attempts there
 // fare no better. Preconditions: none. Thread safety: any thread.
-constexpr std::optional<UpstreamSign> SignOfAttempt(AttemptEnd end, bool unreachable) {
+constexpr std::optional<HealthSignal> AttemptHealthSignal(AttemptEnd end, bool unreachable) {
     switch (end) {
         case AttemptEnd::kAnswered:
-            return UpstreamSign::kAnswered;
+            return HealthSignal::kAnswered;
         case AttemptEnd::kFailed:
-            return UpstreamSign::kFailed;
+            return HealthSignal::kFailed;
         case AttemptEnd::kNotSent:
-            return UpstreamSign::kUnreachable;
+            return HealthSignal::kUnreachable;
         case AttemptEnd::kUnclear:
         case AttemptEnd::kStreamBroken:
-            return unreachable ? UpstreamSign::kUnreachable : UpstreamSign::kSilent;
+            return unreachable ? HealthSignal::kUnreachable : HealthSignal::kSilent;
         case AttemptEnd::kDeclined:
         case AttemptEnd::kMisdirected:
             return std::nullopt;
--- a/include/health/UpstreamHealth.h
+++ b/include/health/UpstreamHealth.h
@@ -1,8 +1,8 @@
 // Decides which upstreams are ejected for a while, from what attempts saw of them. Nothing is
 // probed: after a growing pause an upstream gets requests again, and one good answer clears it.
 //
-// Inputs: the signs of attempts (AttemptSign) with the times at which they began and ended. Ejected
-// upstreams are passed over by ChooseUpstream as long as there is another one.
+// Inputs: the signs of attempts (AttemptHealthSignal) with the times at which they began and ended.
+// Ejected upstreams are passed over by ChooseUpstream as long as there is another one.
 #pragma once
 
 #include "include/base/Time.h"
@@ -13,7 +13,7 @@
 namespace onyx {
 
 // What an attempt saw of its upstream.
-enum class UpstreamSign : uint8_t {
+enum class HealthSignal : uint8_t {
     kAnswered,     // A whole answer that is not a failure.
     kFailed,       // A whole answer that is a failure of the upstream.
     kUnreachable,  // It refused the connection, or did not take it in time.
@@ -41,7 +41,7 @@
     // Takes in what an attempt saw that began at `sent`; true if the upstream is ejected from
     // now on. Silence proves nothing while the upstream answered others since.
     // Preconditions: sent <= now, which does not fall.
-    bool note(const std::string& upstream, UpstreamSign sign, MonoTime sent, MonoTime now);
+    bool note(const std::string& upstream, HealthSignal sign, MonoTime sent, MonoTime now);
 
     // Whether the upstream gets no work at `now`. Preconditions: as above.
     bool isEjected(const std::string& upstream, MonoTime now) const;
@@ -63,7 +63,7 @@
     void fade(Record& record, MonoTime now) const;
     void eject(Record& record, MonoTime now) const;
     static void noteAnswer(Record& record, MonoTime now);
-    bool provesTrouble(Record& record, UpstreamSign sign) const;
+    bool provesTrouble(Record& record, HealthSignal sign) const;
 
     HealthSettings m_settings;
     std::map<std::string, Record> m_records;
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -1,7 +1,7 @@
 #include "include/gateway/Attempt.h"
 
 #include "include/gateway/HttpText.h"
-#include "include/health/AttemptSign.h"
+#include "include/health/AttemptHealthSignal.h"
 
 namespace onyx {
 
@@ -142,7 +142,7 @@
 
 // A caller that left says nothing of the upstream.
 void Attempt::noteHealth(AttemptEnd end) {
-    const auto sign = SignOfAttempt(end, m_exchange->unreachable());
+    const auto sign = AttemptHealthSignal(end, m_exchange->unreachable());
     if (!sign || m_caller.gone() || isOfPast()) {
         return;
     }
--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -121,7 +121,7 @@
     return sharedParts.empty() ? 0 : m_prompts.share(ShortHash(sharedParts.back()), now);
 }
 
-bool UpstreamRecords::noteSign(const std::string& id, UpstreamSign sign, MonoTime sent,
+bool UpstreamRecords::noteSign(const std::string& id, HealthSignal sign, MonoTime sent,
                                MonoTime now) {
     if (!m_health.note(id, sign, sent, now)) {
         return false;
--- a/src/health/UpstreamHealth.cpp
+++ b/src/health/UpstreamHealth.cpp
@@ -21,17 +21,17 @@
     record.failed = 0;
 }
 
-bool UpstreamHealth::note(const std::string& upstream, UpstreamSign sign, MonoTime sent,
+bool UpstreamHealth::note(const std::string& upstream, HealthSignal sign, MonoTime sent,
                           MonoTime now) {
     Record& record = m_records[upstream];
     fade(record, now);
-    if (sign == UpstreamSign::kAnswered || sign == UpstreamSign::kFailed) {
+    if (sign == HealthSignal::kAnswered || sign == HealthSignal::kFailed) {
         record.answeredAt = now;
     }
-    if (sign == UpstreamSign::kSilent && record.answeredAt >= sent) {
+    if (sign == HealthSignal::kSilent && record.answeredAt >= sent) {
         return false;
     }
-    if (sign == UpstreamSign::kAnswered) {
+    if (sign == HealthSignal::kAnswered) {
         noteAnswer(record, now);
         return false;
     }
@@ -54,11 +54,11 @@
     }
 }
 
-bool UpstreamHealth::provesTrouble(Record& record, UpstreamSign sign) const {
-    if (sign == UpstreamSign::kUnreachable) {
+bool UpstreamHealth::provesTrouble(Record& record, HealthSignal sign) const {
+    if (sign == HealthSignal::kUnreachable) {
         return true;
     }
-    if (sign == UpstreamSign::kSilent && ++record.silentInARow >= m_settings.minSilent) {
+    if (sign == HealthSignal::kSilent && ++record.silentInARow >= m_settings.minSilent) {
         return true;
     }
     const double share = record.failed / (record.failed + record.answered);
--- a/tests/AttemptSignTest.cpp
+++ b/tests/AttemptHealthSignalTest.cpp
@@ -1,4 +1,4 @@
-#include "include/health/AttemptSign.h"
+#include "include/health/AttemptHealthSignal.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,14 +8,14 @@
     "An attempt over a network that is cut has its upstream ejected at once, silence does not") {
     for (const AttemptEnd end : {AttemptEnd::kUnclear, AttemptEnd::kStreamBroken}) {
         UpstreamHealth cut{HealthSettings()};
-        CHECK(cut.note("u", *SignOfAttempt(end, true), {0}, {700}));
+        CHECK(cut.note("u", *AttemptHealthSignal(end, true), {0}, {700}));
         CHECK(cut.isEjected("u", {701}));
         UpstreamHealth silent{HealthSettings()};
-        CHECK_FALSE(silent.note("u", *SignOfAttempt(end, false), {0}, {700}));
+        CHECK_FALSE(silent.note("u", *AttemptHealthSignal(end, false), {0}, {700}));
     }
 }
 
 TEST_CASE("An attempt that an upstream declined says nothing of its health") {
-    CHECK_FALSE(SignOfAttempt(AttemptEnd::kDeclined, false).has_value());
-    CHECK_FALSE(SignOfAttempt(AttemptEnd::kMisdirected, false).has_value());
+    CHECK_FALSE(AttemptHealthSignal(AttemptEnd::kDeclined, false).has_value());
+    CHECK_FALSE(AttemptHealthSignal(AttemptEnd::kMisdirected, false).has_value());
 }
--- a/tests/UpstreamHealthTest.cpp
+++ b/tests/UpstreamHealthTest.cpp
@@ -12,23 +12,23 @@
 
 TEST_CASE("An unreachable upstream is ejected, for longer each time, until it answers") {
     UpstreamHealth health{HealthSettings{}};
-    CHECK(health.note(kUpstream, UpstreamSign::kUnreachable, {0}, {0}));
+    CHECK(health.note(kUpstream, HealthSignal::kUnreachable, {0}, {0}));
     CHECK(health.isEjected(kUpstream, {999}));
     CHECK_FALSE(health.isEjected(kUpstream, {1000}));
-    CHECK(health.note(kUpstream, UpstreamSign::kUnreachable, {1000}, {1000}));
+    CHECK(health.note(kUpstream, HealthSignal::kUnreachable, {1000}, {1000}));
     CHECK(health.isEjected(kUpstream, {2999}));
     CHECK_FALSE(health.isEjected(kUpstream, {3000}));
-    health.note(kUpstream, UpstreamSign::kAnswered, {3000}, {3010});
-    CHECK(health.note(kUpstream, UpstreamSign::kUnreachable, {3020}, {3020}));
+    health.note(kUpstream, HealthSignal::kAnswered, {3000}, {3010});
+    CHECK(health.note(kUpstream, HealthSignal::kUnreachable, {3020}, {3020}));
     CHECK_FALSE(health.isEjected(kUpstream, {4020}));
 }
 
 TEST_CASE("Two silent requests in a row leave an upstream alone, an answer between them does not") {
     UpstreamHealth health{HealthSettings{}};
-    CHECK_FALSE(health.note(kUpstream, UpstreamSign::kSilent, {0}, {100}));
-    health.note(kUpstream, UpstreamSign::kAnswered, {100}, {200});
-    CHECK_FALSE(health.note(kUpstream, UpstreamSign::kSilent, {300}, {400}));
-    CHECK(health.note(kUpstream, UpstreamSign::kSilent, {500}, {600}));
+    CHECK_FALSE(health.note(kUpstream, HealthSignal::kSilent, {0}, {100}));
+    health.note(kUpstream, HealthSignal::kAnswered, {100}, {200});
+    CHECK_FALSE(health.note(kUpstream, HealthSignal::kSilent, {300}, {400}));
+    CHECK(health.note(kUpstream, HealthSignal::kSilent, {500}, {600}));
 }
 
 TEST_CASE("Silence proves nothing while the upstream answers others") {
@@ -36,8 +36,8 @@
     UpstreamHealth health{HealthSettings{}};
     for (int i = 0; i < 10; ++i) {
         const MonoTime sent{i * 1000};
-        health.note(kUpstream, UpstreamSign::kAnswered, sent, sent + 200);
-        CHECK_FALSE(health.note(kUpstream, UpstreamSign::kSilent, sent, sent + 400));
+        health.note(kUpstream, HealthSignal::kAnswered, sent, sent + 200);
+        CHECK_FALSE(health.note(kUpstream, HealthSignal::kSilent, sent, sent + 400));
     }
     CHECK_FALSE(health.isEjected(kUpstream, {10000}));
 }
@@ -46,21 +46,21 @@
     UpstreamHealth health{HealthSettings{}};
     bool ejected = false;
     for (int i = 0; i < 40; ++i) {
-        const auto sign = i % 5 == 0 ? UpstreamSign::kFailed : UpstreamSign::kAnswered;
+        const auto sign = i % 5 == 0 ? HealthSignal::kFailed : HealthSignal::kAnswered;
         ejected = health.note(kUpstream, sign, {i * 10}, {i * 10}) || ejected;
     }
     CHECK_FALSE(ejected);
     for (int i = 40; i < 80; ++i) {
-        ejected = health.note(kUpstream, UpstreamSign::kFailed, {i * 10}, {i * 10}) || ejected;
+        ejected = health.note(kUpstream, HealthSignal::kFailed, {i * 10}, {i * 10}) || ejected;
     }
     CHECK(ejected);
 }
 
 TEST_CASE("Requests from before the pause do not lengthen it") {
     UpstreamHealth health{HealthSettings{}};
-    health.note(kUpstream, UpstreamSign::kUnreachable, {0}, {0});
+    health.note(kUpstream, HealthSignal::kUnreachable, {0}, {0});
     for (int i = 0; i < 5; ++i) {
-        CHECK_FALSE(health.note(kUpstream, UpstreamSign::kUnreachable, {0}, {10}));
+        CHECK_FALSE(health.note(kUpstream, HealthSignal::kUnreachable, {0}, {10}));
     }
     CHECK_FALSE(health.isEjected(kUpstream, {1000}));
 }
