--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -50,7 +50,7 @@
     return static_cast<uint32_t>(std::clamp<Millis>(span, 0, std::numeric_limits<uint32_t>::max()));
 }
 
-void AddCrash(const CrashSighting& sighting, MonoTime now, wire::CrashReportsT& reports) {
+void AddCrash(const CrashObservation& sighting, MonoTime now, wire::CrashReportsT& reports) {
     reports.crashes.emplace_back(sighting.request, sighting.id, sighting.upstream,
                                  WireMillis(now - sighting.crashed),
                                  WireMillis(sighting.crashed - sighting.sent));
@@ -81,13 +81,13 @@
 
 }  // namespace
 
-bool CrashExchange::noteCrash(const CrashSighting& sighting, MonoTime now) {
+bool CrashExchange::noteCrash(const CrashObservation& sighting, MonoTime now) {
     return learn(sighting, Origin::kSeen, now);
 }
 
 // Where the second crash of a request follows the first, it becomes a suspect, and all boxes are
 // told of both.
-bool CrashExchange::learn(const CrashSighting& sighting, Origin origin, MonoTime now) {
+bool CrashExchange::learn(const CrashObservation& sighting, Origin origin, MonoTime now) {
     using Learned = RequestQuarantine::Learned;
     const bool wasSuspect = isSuspect(sighting.request);
     const bool wasQuarantined = isQuarantined(sighting.request, now);
@@ -113,7 +113,7 @@
 void CrashExchange::tellAll(uint64_t request, int rounds, MonoTime now) {
     std::erase_if(m_suspects,
                   [&](const CrashNews& news) { return news.sighting.request == request; });
-    for (const CrashSighting& sighting : m_quarantine.sightingsOf(request, now)) {
+    for (const CrashObservation& sighting : m_quarantine.observationsOf(request, now)) {
         Append(m_suspects, {sighting, rounds});
     }
 }
@@ -171,7 +171,8 @@
     for (const wire::CrashEntry& entry : reports.crashes) {
         const MonoTime crashed = now - Millis{entry.age_ms()};
         const MonoTime sent = crashed - Millis{entry.ran_ms()};
-        const CrashSighting sighting{entry.request(), entry.id(), entry.upstream(), sent, crashed};
+        const CrashObservation sighting{entry.request(), entry.id(), entry.upstream(), sent,
+                                        crashed};
         if (m_quarantine.answeredSince(entry.request(), crashed) ||
             (isQuarantined(entry.request(), now) && CrashesOf(entry.request(), reports) == 1)) {
             m_corrections[from].insert(entry.request());
@@ -185,7 +186,7 @@
 }
 
 // What other boxes tell as well spreads without this one.
-void CrashExchange::noteHeard(const CrashSighting& sighting) {
+void CrashExchange::noteHeard(const CrashObservation& sighting) {
     const auto same =
         std::find_if(m_suspects.begin(), m_suspects.end(), [&](const CrashNews& news) {
             return news.sighting.request == sighting.request && news.sighting.id == sighting.id;
@@ -315,7 +316,7 @@
             if (const auto answered = m_quarantine.answeredSince(request, MonoTime{})) {
                 AddAnswer(request, *answered, now, reports);
             }
-            for (const CrashSighting& sighting : m_quarantine.sightingsOf(request, now)) {
+            for (const CrashObservation& sighting : m_quarantine.observationsOf(request, now)) {
                 AddCrash(sighting, now, reports);
             }
         }
@@ -367,7 +368,7 @@
 std::optional<std::string> CrashExchange::greeting(MonoTime now) const {
     wire::CrashReportsT reports;
     size_t singles = 0;
-    for (const CrashSighting& sighting : m_quarantine.sightings(kMaxGreeting, now)) {
+    for (const CrashObservation& sighting : m_quarantine.sightings(kMaxGreeting, now)) {
         if (isSuspect(sighting.request) || singles++ < kMaxSinglesGreeted) {
             AddCrash(sighting, now, reports);
         }
--- a/src/health/RequestQuarantine.cpp
+++ b/src/health/RequestQuarantine.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kInstant = 10;           // An upstream that lasted no longer crashed at once.
 constexpr Millis kShortestRestart = 500;  // Two crashes of one upstream lie at least so far apart.
 
-bool Earlier(const CrashSighting& a, const CrashSighting& b) {
+bool Earlier(const CrashObservation& a, const CrashObservation& b) {
     return std::tie(a.crashed, a.id) < std::tie(b.crashed, b.id);
 }
 
@@ -21,17 +21,17 @@
 // began after a crash has its middle well after it, one that was under way then well before: boxes'
 // times of the same moment differ by the way of a frame. A request that always crashes its upstream
 // at once leaves no such room.
-MonoTime StartOf(const CrashSighting& sighting, bool alwaysAtOnce) {
+MonoTime StartOf(const CrashObservation& sighting, bool alwaysAtOnce) {
     const Millis ran = sighting.crashed - sighting.sent;
     return alwaysAtOnce ? sighting.crashed : sighting.sent + ran / 2;
 }
 
 // Which of the sightings, ordered by the time of the crash, make up the longest sequence in which
 // each attempt began after the crash before it. What ends together at one upstream is one crash.
-std::vector<bool> InSequence(const std::vector<CrashSighting>& sightings, bool alwaysAtOnce) {
+std::vector<bool> InSequence(const std::vector<CrashObservation>& sightings, bool alwaysAtOnce) {
     std::vector<bool> counted;
-    const CrashSighting* last = nullptr;
-    for (const CrashSighting& sighting : sightings) {
+    const CrashObservation* last = nullptr;
+    for (const CrashObservation& sighting : sightings) {
         const bool same = last != nullptr && sighting.upstream == last->upstream &&
                           sighting.crashed - last->crashed < kShortestRestart;
         const bool after = last == nullptr || StartOf(sighting, alwaysAtOnce) >= last->crashed;
@@ -43,7 +43,7 @@
 
 // Drops the last sighting that does not count; of those that all count, the last. The same ones are
 // left whatever the order in which they came.
-void DropOne(std::vector<CrashSighting>& sightings, const std::vector<bool>& counted) {
+void DropOne(std::vector<CrashObservation>& sightings, const std::vector<bool>& counted) {
     const auto uncounted = std::find(counted.rbegin(), counted.rend(), false);
     const auto at = uncounted == counted.rend()
                         ? sightings.size() - 1
@@ -57,7 +57,7 @@
     return record.crashes >= kCrashes && now - record.lastCrash < kMemory;
 }
 
-RequestQuarantine::Learned RequestQuarantine::noteCrash(const CrashSighting& sighting,
+RequestQuarantine::Learned RequestQuarantine::noteCrash(const CrashObservation& sighting,
                                                         MonoTime now) {
     if (now - sighting.crashed >= kMemory || answeredSince(sighting.request, sighting.crashed)) {
         return Learned::kNothing;
@@ -82,17 +82,17 @@
 }
 
 // True if the sighting is new and was kept.
-bool RequestQuarantine::Record::add(const CrashSighting& sighting, MonoTime now) {
-    const auto isSame = [&](const CrashSighting& other) { return other.id == sighting.id; };
+bool RequestQuarantine::Record::add(const CrashObservation& sighting, MonoTime now) {
+    const auto isSame = [&](const CrashObservation& other) { return other.id == sighting.id; };
     if (std::any_of(sightings.begin(), sightings.end(), isSame)) {
         return false;
     }
     std::erase_if(sightings,
-                  [&](const CrashSighting& old) { return now - old.crashed >= kMemory; });
+                  [&](const CrashObservation& old) { return now - old.crashed >= kMemory; });
     sightings.insert(std::upper_bound(sightings.begin(), sightings.end(), sighting, Earlier),
                      sighting);
     lasted = lasted || sighting.crashed - sighting.sent > kInstant;
-    if (sightings.size() > kMaxSightings) {
+    if (sightings.size() > kMaxObservations) {
         DropOne(sightings, InSequence(sightings, !lasted));
     }
     count();
@@ -110,7 +110,7 @@
     }
     Record& record = it->second;
     record.answered = std::min(at, now);
-    const size_t cleared = std::erase_if(record.sightings, [&](const CrashSighting& sighting) {
+    const size_t cleared = std::erase_if(record.sightings, [&](const CrashObservation& sighting) {
         return sighting.crashed <= *record.answered;
     });
     record.count();
@@ -169,21 +169,22 @@
     return it == m_records.end() ? 0 : it->second.crashes;
 }
 
-std::vector<CrashSighting> RequestQuarantine::sightingsOf(uint64_t request, MonoTime now) const {
+std::vector<CrashObservation> RequestQuarantine::observationsOf(uint64_t request,
+                                                                MonoTime now) const {
     const auto it = m_records.find(request);
-    std::vector<CrashSighting> out;
+    std::vector<CrashObservation> out;
     if (it != m_records.end()) {
         std::copy_if(it->second.sightings.begin(), it->second.sightings.end(),
                      std::back_inserter(out),
-                     [&](const CrashSighting& old) { return now - old.crashed < kMemory; });
+                     [&](const CrashObservation& old) { return now - old.crashed < kMemory; });
     }
     return out;
 }
 
-std::vector<CrashSighting> RequestQuarantine::sightings(size_t most, MonoTime now) const {
-    std::vector<std::pair<size_t, CrashSighting>> ranked;
+std::vector<CrashObservation> RequestQuarantine::sightings(size_t most, MonoTime now) const {
+    std::vector<std::pair<size_t, CrashObservation>> ranked;
     for (const auto& [request, record] : m_records) {
-        for (const CrashSighting& sighting : record.sightings) {
+        for (const CrashObservation& sighting : record.sightings) {
             if (now - sighting.crashed < kMemory) {
                 ranked.emplace_back(record.crashes, sighting);
             }
@@ -195,7 +196,7 @@
     };
     std::sort(ranked.begin(), ranked.end(), moreTelling);
     ranked.resize(std::min(most, ranked.size()));
-    std::vector<CrashSighting> out;
+    std::vector<CrashObservation> out;
     out.reserve(ranked.size());
     for (const auto& [crashes, sighting] : ranked) {
         out.push_back(sighting);
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -15,12 +15,12 @@
 constexpr uint64_t kRequest = 7;
 
 // A crash at `at` of an upstream that had the request for `ran` milliseconds.
-CrashSighting Crash(uint32_t id, Millis at, Millis ran = 50, uint64_t request = kRequest) {
+CrashObservation Crash(uint32_t id, Millis at, Millis ran = 50, uint64_t request = kRequest) {
     return {request, id, id, {at - ran}, {at}};
 }
 
-void NoteAll(RequestQuarantine& quarantine, const std::vector<CrashSighting>& crashes) {
-    for (const CrashSighting& crash : crashes) {
+void NoteAll(RequestQuarantine& quarantine, const std::vector<CrashObservation>& crashes) {
+    for (const CrashObservation& crash : crashes) {
         quarantine.noteCrash(crash, crash.crashed);
     }
 }
@@ -156,14 +156,14 @@
     const MonoTime now{60000};
     size_t inQuarantine = 0;
     for (int round = 0; round < 200; ++round) {
-        std::vector<CrashSighting> crashes;
+        std::vector<CrashObservation> crashes;
         for (uint32_t i = 0; i < 1 + random() % 12; ++i) {
             const auto at = static_cast<Millis>(1000 + random() % 1500);
             crashes.push_back(Crash(i, at, static_cast<Millis>(random() % 900)));
         }
         const auto known = [&] {
             RequestQuarantine quarantine;
-            for (const CrashSighting& crash : crashes) {
+            for (const CrashObservation& crash : crashes) {
                 quarantine.noteCrash(crash, now);
             }
             return quarantine.timeLeft(kRequest, now).has_value();
@@ -185,9 +185,10 @@
     }
     CHECK(quarantine.timeLeft(kRequest, {4000}));
     CHECK(quarantine.sightings(2 * RequestQuarantine::kMaxRequests, {4000}).size() <=
-          RequestQuarantine::kMaxRequests * RequestQuarantine::kMaxSightings);
+          RequestQuarantine::kMaxRequests * RequestQuarantine::kMaxObservations);
     const auto most = quarantine.sightings(3, {4000});
     REQUIRE(most.size() == 3);
-    CHECK(std::all_of(most.begin(), most.end(),
-                      [](const CrashSighting& sighting) { return sighting.request == kRequest; }));
+    CHECK(std::all_of(most.begin(), most.end(), [](const CrashObservation& sighting) {
+        return sighting.request == kRequest;
+    }));
 }
