--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -34,7 +34,7 @@
 
     // This box saw a crash; true if the request is in quarantine from now on.
     // Preconditions: times do not fall.
-    bool noteCrash(const CrashObservation& sighting, MonoTime now);
+    bool noteCrash(const CrashObservation& observation, MonoTime now);
     // A request was answered here. Preconditions: as above.
     void noteAnswer(uint64_t request, MonoTime now);
 
@@ -62,11 +62,11 @@
 private:
     enum class Origin : uint8_t { kSeen, kTold };  // By this box, by another one.
     struct SingleCrash {
-        CrashObservation sighting;
+        CrashObservation observation;
         Origin origin = Origin::kSeen;
     };
     struct CrashNews {
-        CrashObservation sighting;
+        CrashObservation observation;
         int rounds = 0;  // In which it is still told.
     };
     struct AnswerNews {
@@ -92,11 +92,11 @@
     };
 
     bool isSuspect(uint64_t request) const { return m_quarantine.crashes(request) > 1; }
-    bool learn(const CrashObservation& sighting, Origin origin, MonoTime now);
+    bool learn(const CrashObservation& observation, Origin origin, MonoTime now);
     void learnAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now);
     void tellAll(uint64_t request, int rounds, MonoTime now);
     void tellAnswer(const AnswerNews& news);
-    void noteHeard(const CrashObservation& sighting);
+    void noteHeard(const CrashObservation& observation);
     bool isQuarantined(uint64_t request, MonoTime now) const {
         return m_quarantine.timeLeft(request, now).has_value();
     }
--- a/include/health/RequestQuarantine.h
+++ b/include/health/RequestQuarantine.h
@@ -24,7 +24,7 @@
 // An upstream crashed while it ran an attempt of a request.
 struct CrashObservation {
     uint64_t request = 0;   // Its fingerprint, see RequestFingerprint.
-    uint32_t id = 0;        // Of this sighting, drawn by the box that saw it.
+    uint32_t id = 0;        // Of this observation, drawn by the box that saw it.
     uint32_t upstream = 0;  // Low half of the hash of its id.
     MonoTime sent;
     MonoTime crashed;  // Not before `sent`.
@@ -50,7 +50,7 @@
 
     // Takes in a crash, seen here or told by another box; kNothing if it was known or is too old.
     // Preconditions: times do not fall.
-    Learned noteCrash(const CrashObservation& sighting, MonoTime now);
+    Learned noteCrash(const CrashObservation& observation, MonoTime now);
 
     // A request was answered at `at`; true if that clears it of a crash that was known. It also
     // clears it of crashes until then that become known later. Preconditions: as above.
@@ -75,25 +75,25 @@
     // Crashes of which a request may be the cause; 0: none. Preconditions: none.
     size_t crashes(uint64_t request) const;
 
-    // The sightings of one request, by the time of the crash. Preconditions: as above.
+    // The observations of one request, by the time of the crash. Preconditions: as above.
     std::vector<CrashObservation> observationsOf(uint64_t request, MonoTime now) const;
-    // The most telling sightings, requests with the most crashes first. Preconditions: as above.
-    std::vector<CrashObservation> sightings(size_t most, MonoTime now) const;
+    // The most telling observations, requests with the most crashes first. Preconditions: as above.
+    std::vector<CrashObservation> observations(size_t most, MonoTime now) const;
 
     // Forgets what is older than kMemory. Preconditions: as above.
     void expire(MonoTime now);
 
 private:
     struct Record {
-        std::vector<CrashObservation> sightings;  // By the time of the crash.
-        size_t crashes = 0;                       // One after the other, among them.
+        std::vector<CrashObservation> observations;  // By the time of the crash.
+        size_t crashes = 0;                          // One after the other, among them.
         MonoTime lastCrash;
         std::optional<MonoTime> answered;  // Crashes before prove nothing.
 
         bool lasted = false;     // Some upstream did not crash at once.
         bool suspected = false;  // It had two crashes at some time.
 
-        bool add(const CrashObservation& sighting, MonoTime now);
+        bool add(const CrashObservation& observation, MonoTime now);
         void count();
     };
 
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -50,10 +50,10 @@
     return static_cast<uint32_t>(std::clamp<Millis>(span, 0, std::numeric_limits<uint32_t>::max()));
 }
 
-void AddCrash(const CrashObservation& sighting, MonoTime now, wire::CrashReportsT& reports) {
-    reports.crashes.emplace_back(sighting.request, sighting.id, sighting.upstream,
-                                 WireMillis(now - sighting.crashed),
-                                 WireMillis(sighting.crashed - sighting.sent));
+void AddCrash(const CrashObservation& observation, MonoTime now, wire::CrashReportsT& reports) {
+    reports.crashes.emplace_back(observation.request, observation.id, observation.upstream,
+                                 WireMillis(now - observation.crashed),
+                                 WireMillis(observation.crashed - observation.sent));
 }
 
 void AddAnswer(uint64_t request, MonoTime at, MonoTime now, wire::CrashReportsT& reports) {
@@ -81,30 +81,30 @@
 
 }  // namespace
 
-bool CrashExchange::noteCrash(const CrashObservation& sighting, MonoTime now) {
-    return learn(sighting, Origin::kSeen, now);
+bool CrashExchange::noteCrash(const CrashObservation& observation, MonoTime now) {
+    return learn(observation, Origin::kSeen, now);
 }
 
 // Where the second crash of a request follows the first, it becomes a suspect, and all boxes are
 // told of both.
-bool CrashExchange::learn(const CrashObservation& sighting, Origin origin, MonoTime now) {
+bool CrashExchange::learn(const CrashObservation& observation, Origin origin, MonoTime now) {
     using Learned = RequestQuarantine::Learned;
-    const bool wasSuspect = isSuspect(sighting.request);
-    const bool wasQuarantined = isQuarantined(sighting.request, now);
-    const Learned learned = m_quarantine.noteCrash(sighting, now);
+    const bool wasSuspect = isSuspect(observation.request);
+    const bool wasQuarantined = isQuarantined(observation.request, now);
+    const Learned learned = m_quarantine.noteCrash(observation, now);
     if (learned == Learned::kNothing || (wasQuarantined && origin == Origin::kTold)) {
         return false;
     }
     // Where all crashes of a request meet, the third is known soonest.
-    if (origin == Origin::kSeen || !isSuspect(sighting.request)) {
-        Append(m_singles, {sighting, origin});
+    if (origin == Origin::kSeen || !isSuspect(observation.request)) {
+        Append(m_singles, {observation, origin});
     }
     if (learned == Learned::kQuarantine) {
-        tellAll(sighting.request, kQuarantineRounds, now);
+        tellAll(observation.request, kQuarantineRounds, now);
     } else if (wasSuspect) {
-        Append(m_suspects, {sighting, kRounds});
-    } else if (isSuspect(sighting.request)) {
-        tellAll(sighting.request, kRounds, now);
+        Append(m_suspects, {observation, kRounds});
+    } else if (isSuspect(observation.request)) {
+        tellAll(observation.request, kRounds, now);
     }
     return learned == Learned::kQuarantine;
 }
@@ -112,9 +112,9 @@
 // A box that missed one of the crashes gets it from each box that learns of the next.
 void CrashExchange::tellAll(uint64_t request, int rounds, MonoTime now) {
     std::erase_if(m_suspects,
-                  [&](const CrashNews& news) { return news.sighting.request == request; });
-    for (const CrashObservation& sighting : m_quarantine.observationsOf(request, now)) {
-        Append(m_suspects, {sighting, rounds});
+                  [&](const CrashNews& news) { return news.observation.request == request; });
+    for (const CrashObservation& observation : m_quarantine.observationsOf(request, now)) {
+        Append(m_suspects, {observation, rounds});
     }
 }
 
@@ -135,12 +135,12 @@
         return;
     }
     const size_t untold = std::erase_if(m_singles, [&](const SingleCrash& news) {
-        return news.sighting.request == request && news.origin == Origin::kSeen;
+        return news.observation.request == request && news.origin == Origin::kSeen;
     });
     std::erase_if(m_singles,
-                  [&](const SingleCrash& news) { return news.sighting.request == request; });
+                  [&](const SingleCrash& news) { return news.observation.request == request; });
     std::erase_if(m_suspects, [&](const CrashNews& news) {
-        return news.sighting.request == request && news.sighting.crashed <= at;
+        return news.observation.request == request && news.observation.crashed <= at;
     });
     if (wasSuspect) {
         tellAnswer({request, at, kRounds});
@@ -171,14 +171,14 @@
     for (const wire::CrashEntry& entry : reports.crashes) {
         const MonoTime crashed = now - Millis{entry.age_ms()};
         const MonoTime sent = crashed - Millis{entry.ran_ms()};
-        const CrashObservation sighting{entry.request(), entry.id(), entry.upstream(), sent,
-                                        crashed};
+        const CrashObservation observation{entry.request(), entry.id(), entry.upstream(), sent,
+                                           crashed};
         if (m_quarantine.answeredSince(entry.request(), crashed) ||
             (isQuarantined(entry.request(), now) && CrashesOf(entry.request(), reports) == 1)) {
             m_corrections[from].insert(entry.request());
         }
-        noteHeard(sighting);
-        if (learn(sighting, Origin::kTold, now)) {
+        noteHeard(observation);
+        if (learn(observation, Origin::kTold, now)) {
             quarantined.push_back(entry.request());
         }
     }
@@ -186,10 +186,11 @@
 }
 
 // What other boxes tell as well spreads without this one.
-void CrashExchange::noteHeard(const CrashObservation& sighting) {
+void CrashExchange::noteHeard(const CrashObservation& observation) {
     const auto same =
         std::find_if(m_suspects.begin(), m_suspects.end(), [&](const CrashNews& news) {
-            return news.sighting.request == sighting.request && news.sighting.id == sighting.id;
+            return news.observation.request == observation.request &&
+                   news.observation.id == observation.id;
         });
     if (same != m_suspects.end() && m_forSuspects.isShort() && --same->rounds <= 0) {
         m_suspects.erase(same);
@@ -227,15 +228,15 @@
     std::vector<std::string> to =
         DrawBoxes({linked.begin(), linked.end()}, kFanOut, self, ++m_round);
     const auto isCause = [&](const CrashNews& news) {
-        return isQuarantined(news.sighting.request, now);
+        return isQuarantined(news.observation.request, now);
     };
     std::erase_if(m_suspects, [&](const CrashNews& news) {
-        return !isCause(news) && now - news.sighting.crashed > kNewsAge;
+        return !isCause(news) && now - news.observation.crashed > kNewsAge;
     });
     std::stable_sort(m_suspects.begin(), m_suspects.end(),
                      [&](const CrashNews& a, const CrashNews& b) {
-                         return std::make_pair(isCause(a), a.sighting.crashed) >
-                                std::make_pair(isCause(b), b.sighting.crashed);
+                         return std::make_pair(isCause(a), a.observation.crashed) >
+                                std::make_pair(isCause(b), b.observation.crashed);
                      });
     wire::CrashReportsT reports;
     double left = m_forSuspects.left() / static_cast<double>(to.size()) - kFrameBytes;
@@ -253,7 +254,7 @@
     }
     for (CrashNews& news : m_suspects) {
         if (pays(isCause(news) ? 0 : reserve)) {
-            AddCrash(news.sighting, now, reports);
+            AddCrash(news.observation, now, reports);
             --news.rounds;
         }
     }
@@ -282,14 +283,14 @@
     };
     std::stable_sort(m_singles.begin(), m_singles.end(),
                      [](const SingleCrash& a, const SingleCrash& b) {
-                         return a.sighting.crashed < b.sighting.crashed;
+                         return a.observation.crashed < b.observation.crashed;
                      });
     while (left > 0 && !m_singles.empty()) {
         const SingleCrash news = m_singles.back();
         m_singles.pop_back();
         const size_t fanOut = news.origin == Origin::kSeen ? kFirstFanOut : kNextFanOut;
-        handOn(news.sighting.request, fanOut,
-               [&](auto& reports) { AddCrash(news.sighting, now, reports); });
+        handOn(news.observation.request, fanOut,
+               [&](auto& reports) { AddCrash(news.observation, now, reports); });
     }
     while (left > 0 && !m_singleAnswers.empty()) {
         const AnswerNews news = m_singleAnswers.back();
@@ -316,8 +317,8 @@
             if (const auto answered = m_quarantine.answeredSince(request, MonoTime{})) {
                 AddAnswer(request, *answered, now, reports);
             }
-            for (const CrashObservation& sighting : m_quarantine.observationsOf(request, now)) {
-                AddCrash(sighting, now, reports);
+            for (const CrashObservation& observation : m_quarantine.observationsOf(request, now)) {
+                AddCrash(observation, now, reports);
             }
         }
         OutgoingFrame outgoing{{box}, EncodeMessage(std::move(reports))};
@@ -368,9 +369,9 @@
 std::optional<std::string> CrashExchange::greeting(MonoTime now) const {
     wire::CrashReportsT reports;
     size_t singles = 0;
-    for (const CrashObservation& sighting : m_quarantine.sightings(kMaxGreeting, now)) {
-        if (isSuspect(sighting.request) || singles++ < kMaxSinglesGreeted) {
-            AddCrash(sighting, now, reports);
+    for (const CrashObservation& observation : m_quarantine.observations(kMaxGreeting, now)) {
+        if (isSuspect(observation.request) || singles++ < kMaxSinglesGreeted) {
+            AddCrash(observation, now, reports);
         }
     }
     if (reports.crashes.empty()) {
--- a/src/gateway/QuarantineController.cpp
+++ b/src/gateway/QuarantineController.cpp
@@ -24,9 +24,9 @@
     const MonoTime now = ReadClocks().mono;
     for (const BrokenAttempt& attempt : attempts) {
         m_log.crashed(upstream.id, attempt);
-        const CrashObservation sighting{attempt.fingerprint, static_cast<uint32_t>(m_random()),
-                                        ShortHash(upstream.id), attempt.sent, attempt.ended};
-        if (m_exchange.noteCrash(sighting, now)) {
+        const CrashObservation observation{attempt.fingerprint, static_cast<uint32_t>(m_random()),
+                                           ShortHash(upstream.id), attempt.sent, attempt.ended};
+        if (m_exchange.noteCrash(observation, now)) {
             noteQuarantined(attempt.fingerprint, "here");
         }
     }
--- a/src/health/RequestQuarantine.cpp
+++ b/src/health/RequestQuarantine.cpp
@@ -21,34 +21,35 @@
 // began after a crash has its middle well after it, one that was under way then well before: boxes'
 // times of the same moment differ by the way of a frame. A request that always crashes its upstream
 // at once leaves no such room.
-MonoTime StartOf(const CrashObservation& sighting, bool alwaysAtOnce) {
-    const Millis ran = sighting.crashed - sighting.sent;
-    return alwaysAtOnce ? sighting.crashed : sighting.sent + ran / 2;
+MonoTime StartOf(const CrashObservation& observation, bool alwaysAtOnce) {
+    const Millis ran = observation.crashed - observation.sent;
+    return alwaysAtOnce ? observation.crashed : observation.sent + ran / 2;
 }
 
-// Which of the sightings, ordered by the time of the crash, make up the longest sequence in which
-// each attempt began after the crash before it. What ends together at one upstream is one crash.
-std::vector<bool> InSequence(const std::vector<CrashObservation>& sightings, bool alwaysAtOnce) {
+// Which of the observations, ordered by the time of the crash, make up the longest sequence in
+// which each attempt began after the crash before it. What ends together at one upstream is one
+// crash.
+std::vector<bool> InSequence(const std::vector<CrashObservation>& observations, bool alwaysAtOnce) {
     std::vector<bool> counted;
     const CrashObservation* last = nullptr;
-    for (const CrashObservation& sighting : sightings) {
-        const bool same = last != nullptr && sighting.upstream == last->upstream &&
-                          sighting.crashed - last->crashed < kShortestRestart;
-        const bool after = last == nullptr || StartOf(sighting, alwaysAtOnce) >= last->crashed;
+    for (const CrashObservation& observation : observations) {
+        const bool same = last != nullptr && observation.upstream == last->upstream &&
+                          observation.crashed - last->crashed < kShortestRestart;
+        const bool after = last == nullptr || StartOf(observation, alwaysAtOnce) >= last->crashed;
         counted.push_back(after && !same);
-        last = counted.back() ? &sighting : last;
+        last = counted.back() ? &observation : last;
     }
     return counted;
 }
 
-// Drops the last sighting that does not count; of those that all count, the last. The same ones are
-// left whatever the order in which they came.
-void DropOne(std::vector<CrashObservation>& sightings, const std::vector<bool>& counted) {
+// Drops the last observation that does not count; of those that all count, the last. The same ones
+// are left whatever the order in which they came.
+void DropOne(std::vector<CrashObservation>& observations, const std::vector<bool>& counted) {
     const auto uncounted = std::find(counted.rbegin(), counted.rend(), false);
     const auto at = uncounted == counted.rend()
-                        ? sightings.size() - 1
+                        ? observations.size() - 1
                         : static_cast<size_t>(counted.rend() - uncounted) - 1;
-    sightings.erase(sightings.begin() + static_cast<std::ptrdiff_t>(at));
+    observations.erase(observations.begin() + static_cast<std::ptrdiff_t>(at));
 }
 
 }  // namespace
@@ -57,18 +58,19 @@
     return record.crashes >= kCrashes && now - record.lastCrash < kMemory;
 }
 
-RequestQuarantine::Learned RequestQuarantine::noteCrash(const CrashObservation& sighting,
+RequestQuarantine::Learned RequestQuarantine::noteCrash(const CrashObservation& observation,
                                                         MonoTime now) {
-    if (now - sighting.crashed >= kMemory || answeredSince(sighting.request, sighting.crashed)) {
+    if (now - observation.crashed >= kMemory ||
+        answeredSince(observation.request, observation.crashed)) {
         return Learned::kNothing;
     }
-    if (!m_records.contains(sighting.request) && m_records.size() >= kMaxRequests) {
+    if (!m_records.contains(observation.request) && m_records.size() >= kMaxRequests) {
         makeRoom(now);
     }
-    Record& record = m_records[sighting.request];
-    record.lastCrash = std::max(record.lastCrash, sighting.crashed);
+    Record& record = m_records[observation.request];
+    record.lastCrash = std::max(record.lastCrash, observation.crashed);
     const size_t before = record.crashes;
-    if (!record.add(sighting, now)) {
+    if (!record.add(observation, now)) {
         return Learned::kNothing;
     }
     const bool becameCause = before < kCrashes && record.crashes >= kCrashes;
@@ -76,27 +78,28 @@
 }
 
 void RequestQuarantine::Record::count() {
-    const std::vector<bool> counted = InSequence(sightings, !lasted);
+    const std::vector<bool> counted = InSequence(observations, !lasted);
     crashes = static_cast<size_t>(std::count(counted.begin(), counted.end(), true));
     suspected = suspected || crashes > 1;
 }
 
-// True if the sighting is new and was kept.
-bool RequestQuarantine::Record::add(const CrashObservation& sighting, MonoTime now) {
-    const auto isSame = [&](const CrashObservation& other) { return other.id == sighting.id; };
-    if (std::any_of(sightings.begin(), sightings.end(), isSame)) {
+// True if the observation is new and was kept.
+bool RequestQuarantine::Record::add(const CrashObservation& observation, MonoTime now) {
+    const auto isSame = [&](const CrashObservation& other) { return other.id == observation.id; };
+    if (std::any_of(observations.begin(), observations.end(), isSame)) {
         return false;
     }
-    std::erase_if(sightings,
+    std::erase_if(observations,
                   [&](const CrashObservation& old) { return now - old.crashed >= kMemory; });
-    sightings.insert(std::upper_bound(sightings.begin(), sightings.end(), sighting, Earlier),
-                     sighting);
-    lasted = lasted || sighting.crashed - sighting.sent > kInstant;
-    if (sightings.size() > kMaxObservations) {
-        DropOne(sightings, InSequence(sightings, !lasted));
+    observations.insert(
+        std::upper_bound(observations.begin(), observations.end(), observation, Earlier),
+        observation);
+    lasted = lasted || observation.crashed - observation.sent > kInstant;
+    if (observations.size() > kMaxObservations) {
+        DropOne(observations, InSequence(observations, !lasted));
     }
     count();
-    return std::any_of(sightings.begin(), sightings.end(), isSame);
+    return std::any_of(observations.begin(), observations.end(), isSame);
 }
 
 bool RequestQuarantine::noteAnswer(uint64_t request, MonoTime at, MonoTime now) {
@@ -110,9 +113,10 @@
     }
     Record& record = it->second;
     record.answered = std::min(at, now);
-    const size_t cleared = std::erase_if(record.sightings, [&](const CrashObservation& sighting) {
-        return sighting.crashed <= *record.answered;
-    });
+    const size_t cleared =
+        std::erase_if(record.observations, [&](const CrashObservation& observation) {
+            return observation.crashed <= *record.answered;
+        });
     record.count();
     return cleared > 0;
 }
@@ -174,19 +178,19 @@
     const auto it = m_records.find(request);
     std::vector<CrashObservation> out;
     if (it != m_records.end()) {
-        std::copy_if(it->second.sightings.begin(), it->second.sightings.end(),
+        std::copy_if(it->second.observations.begin(), it->second.observations.end(),
                      std::back_inserter(out),
                      [&](const CrashObservation& old) { return now - old.crashed < kMemory; });
     }
     return out;
 }
 
-std::vector<CrashObservation> RequestQuarantine::sightings(size_t most, MonoTime now) const {
+std::vector<CrashObservation> RequestQuarantine::observations(size_t most, MonoTime now) const {
     std::vector<std::pair<size_t, CrashObservation>> ranked;
     for (const auto& [request, record] : m_records) {
-        for (const CrashObservation& sighting : record.sightings) {
-            if (now - sighting.crashed < kMemory) {
-                ranked.emplace_back(record.crashes, sighting);
+        for (const CrashObservation& observation : record.observations) {
+            if (now - observation.crashed < kMemory) {
+                ranked.emplace_back(record.crashes, observation);
             }
         }
     }
@@ -198,8 +202,8 @@
     ranked.resize(std::min(most, ranked.size()));
     std::vector<CrashObservation> out;
     out.reserve(ranked.size());
-    for (const auto& [crashes, sighting] : ranked) {
-        out.push_back(sighting);
+    for (const auto& [crashes, observation] : ranked) {
+        out.push_back(observation);
     }
     return out;
 }
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -184,11 +184,11 @@
         quarantine.noteCrash(Crash(100 + i, 4000, 50, 1000 + i), {4000});
     }
     CHECK(quarantine.timeLeft(kRequest, {4000}));
-    CHECK(quarantine.sightings(2 * RequestQuarantine::kMaxRequests, {4000}).size() <=
+    CHECK(quarantine.observations(2 * RequestQuarantine::kMaxRequests, {4000}).size() <=
           RequestQuarantine::kMaxRequests * RequestQuarantine::kMaxObservations);
-    const auto most = quarantine.sightings(3, {4000});
+    const auto most = quarantine.observations(3, {4000});
     REQUIRE(most.size() == 3);
-    CHECK(std::all_of(most.begin(), most.end(), [](const CrashObservation& sighting) {
-        return sighting.request == kRequest;
+    CHECK(std::all_of(most.begin(), most.end(), [](const CrashObservation& observation) {
+        return observation.request == kRequest;
     }));
 }
