--- a/include/health/RequestQuarantine.h
+++ b/include/health/RequestQuarantine.h
@@ -46,11 +46,11 @@
     static constexpr size_t kMaxAnswers = 4096;
 
     // What is to be made known to other boxes.
-    enum class Learned : uint8_t { kNothing, kSighting, kQuarantine };
+    enum class CrashEffect : uint8_t { kUnchanged, kRecorded, kQuarantined };
 
-    // Takes in a crash, seen here or told by another box; kNothing if it was known or is too old.
+    // Takes in a crash, seen here or told by another box; kUnchanged if it was known or is too old.
     // Preconditions: times do not fall.
-    Learned noteCrash(const CrashObservation& observation, MonoTime now);
+    CrashEffect noteCrash(const CrashObservation& observation, MonoTime now);
 
     // A request was answered at `at`; true if that clears it of a crash that was known. It also
     // clears it of crashes until then that become known later. Preconditions: as above.
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -88,25 +88,25 @@
 // Where the second crash of a request follows the first, it becomes a suspect, and all boxes are
 // told of both.
 bool CrashExchange::learn(const CrashObservation& observation, Origin origin, MonoTime now) {
-    using Learned = RequestQuarantine::Learned;
+    using CrashEffect = RequestQuarantine::CrashEffect;
     const bool wasSuspect = isSuspect(observation.request);
     const bool wasQuarantined = isQuarantined(observation.request, now);
-    const Learned learned = m_quarantine.noteCrash(observation, now);
-    if (learned == Learned::kNothing || (wasQuarantined && origin == Origin::kTold)) {
+    const CrashEffect learned = m_quarantine.noteCrash(observation, now);
+    if (learned == CrashEffect::kUnchanged || (wasQuarantined && origin == Origin::kTold)) {
         return false;
     }
     // Where all crashes of a request meet, the third is known soonest.
     if (origin == Origin::kSeen || !isSuspect(observation.request)) {
         Append(m_singles, {observation, origin});
     }
-    if (learned == Learned::kQuarantine) {
+    if (learned == CrashEffect::kQuarantined) {
         tellAll(observation.request, kQuarantineRounds, now);
     } else if (wasSuspect) {
         Append(m_suspects, {observation, kRounds});
     } else if (isSuspect(observation.request)) {
         tellAll(observation.request, kRounds, now);
     }
-    return learned == Learned::kQuarantine;
+    return learned == CrashEffect::kQuarantined;
 }
 
 // A box that missed one of the crashes gets it from each box that learns of the next.
--- a/src/health/RequestQuarantine.cpp
+++ b/src/health/RequestQuarantine.cpp
@@ -58,11 +58,11 @@
     return record.crashes >= kCrashes && now - record.lastCrash < kMemory;
 }
 
-RequestQuarantine::Learned RequestQuarantine::noteCrash(const CrashObservation& observation,
-                                                        MonoTime now) {
+RequestQuarantine::CrashEffect RequestQuarantine::noteCrash(const CrashObservation& observation,
+                                                            MonoTime now) {
     if (now - observation.crashed >= kMemory ||
         answeredSince(observation.request, observation.crashed)) {
-        return Learned::kNothing;
+        return CrashEffect::kUnchanged;
     }
     if (!m_records.contains(observation.request) && m_records.size() >= kMaxRequests) {
         makeRoom(now);
@@ -71,10 +71,10 @@
     record.lastCrash = std::max(record.lastCrash, observation.crashed);
     const size_t before = record.crashes;
     if (!record.add(observation, now)) {
-        return Learned::kNothing;
+        return CrashEffect::kUnchanged;
     }
     const bool becameCause = before < kCrashes && record.crashes >= kCrashes;
-    return becameCause ? Learned::kQuarantine : Learned::kSighting;
+    return becameCause ? CrashEffect::kQuarantined : CrashEffect::kRecorded;
 }
 
 void RequestQuarantine::Record::count() {
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using Learned = RequestQuarantine::Learned;
+using CrashEffect = RequestQuarantine::CrashEffect;
 
 constexpr uint64_t kRequest = 7;
 
@@ -41,10 +41,10 @@
 
 TEST_CASE("A request is in quarantine once three upstreams crashed under it one after the other") {
     RequestQuarantine quarantine;
-    CHECK(quarantine.noteCrash(Crash(1, 1000), {1000}) == Learned::kSighting);
-    CHECK(quarantine.noteCrash(Crash(2, 2000), {2000}) == Learned::kSighting);
+    CHECK(quarantine.noteCrash(Crash(1, 1000), {1000}) == CrashEffect::kRecorded);
+    CHECK(quarantine.noteCrash(Crash(2, 2000), {2000}) == CrashEffect::kRecorded);
     CHECK_FALSE(quarantine.timeLeft(kRequest, {2000}));
-    CHECK(quarantine.noteCrash(Crash(3, 3000), {3000}) == Learned::kQuarantine);
+    CHECK(quarantine.noteCrash(Crash(3, 3000), {3000}) == CrashEffect::kQuarantined);
     CHECK(quarantine.timeLeft(kRequest, {3000}) == RequestQuarantine::kMemory);
     CHECK(quarantine.quarantined({3000}) == 1);
     CHECK_FALSE(quarantine.timeLeft(kRequest + 1, {3000}));
@@ -58,7 +58,7 @@
         quarantine.noteCrash(Crash(2, 2000), {2000 + i});
     }
     CHECK(quarantine.crashes(kRequest) == 2);
-    CHECK(quarantine.noteCrash(Crash(2, 2000), {2100}) == Learned::kNothing);
+    CHECK(quarantine.noteCrash(Crash(2, 2000), {2100}) == CrashEffect::kUnchanged);
 }
 
 // Guards against taking a popular request for the cause when several upstreams are lost at once.
@@ -91,7 +91,7 @@
     quarantine.noteCrash(Crash(3, 3000), {3000});
     CHECK(quarantine.crashes(kRequest) == 1);
     // Told late by a box that had not heard of the answer.
-    CHECK(quarantine.noteCrash(Crash(4, 2200), {3100}) == Learned::kNothing);
+    CHECK(quarantine.noteCrash(Crash(4, 2200), {3100}) == CrashEffect::kUnchanged);
     NoteAll(quarantine, {Crash(5, 4000), Crash(6, 5000)});
     CHECK(quarantine.timeLeft(kRequest, {5000}));
     CHECK(quarantine.noteAnswer(kRequest, {5500}, {5500}));
@@ -104,7 +104,7 @@
     const MonoTime end = MonoTime{3000} + RequestQuarantine::kMemory;
     CHECK(quarantine.timeLeft(kRequest, end - 1) == 1);
     CHECK_FALSE(quarantine.timeLeft(kRequest, end));
-    CHECK(quarantine.noteCrash(Crash(4, 3000), end) == Learned::kNothing);
+    CHECK(quarantine.noteCrash(Crash(4, 3000), end) == CrashEffect::kUnchanged);
     quarantine.expire(end);
     CHECK(quarantine.empty());
 }
