--- a/include/admission/Refusal.h
+++ b/include/admission/Refusal.h
@@ -51,7 +51,7 @@
 // A box learns a configuration from the store or from a peer within about this time.
 inline constexpr Millis kRetryAfterNoConfiguration = 500;
 // At most; a caller is told what is left of the quarantine.
-inline constexpr Millis kRetryAfterQuarantined = RequestQuarantine::kMemory;
+inline constexpr Millis kRetryAfterQuarantined = RequestQuarantine::kRetentionMs;
 
 // The refusal for `reason`. `detail`: the words of kBadHead, which name the header; the others have
 // their own. Preconditions: none. Thread safety: any thread.
--- a/include/health/RequestQuarantine.h
+++ b/include/health/RequestQuarantine.h
@@ -2,10 +2,10 @@
 //
 // Inputs: the crashes that boxes saw, each with the request that was under way and the time that it
 // had been there; the requests that were answered; the time. A request counts as the cause once
-// kCrashes of its attempts ended with their upstream, one after the other: attempts that were under
-// way together, and those at one upstream, are counted once, so that a popular request is not
-// blamed for the loss of several upstreams at one moment. A good answer clears it of all crashes
-// before.
+// kCrashThreshold of its attempts ended with their upstream, one after the other: attempts that
+// were under way together, and those at one upstream, are counted once, so that a popular request
+// is not blamed for the loss of several upstreams at one moment. A good answer clears it of all
+// crashes before.
 //
 // Crashes carry an id of their box's choice, so boxes may tell each other the same one in any order
 // and as often as they like.
@@ -33,16 +33,16 @@
 // Not thread safe: one task owns it.
 class RequestQuarantine {
 public:
-    static constexpr size_t kCrashes = 3;  // So many make a request the cause.
+    static constexpr size_t kCrashThreshold = 3;  // So many make a request the cause.
     // How long a crash counts, and a request stays in quarantine after its last one.
-    static constexpr Millis kMemory = Millis{10} * 60 * 1000;
+    static constexpr Millis kRetentionMs = Millis{10} * 60 * 1000;
     // Requests remembered; beyond it those with the fewest crashes, then the oldest, go first.
     static constexpr size_t kMaxRequests = 4096;
     // Sightings remembered of each.
     static constexpr size_t kMaxObservations = 8;
     // Answers to requests that no crash is known of are remembered for this long at least, in
     // milliseconds, if they are no more than so many: news of a crash may come later.
-    static constexpr Millis kAnswerMemory = 10000;
+    static constexpr Millis kMinAnswerRetentionMs = 10000;
     static constexpr size_t kMaxAnswers = 4096;
 
     // What is to be made known to other boxes.
@@ -80,7 +80,7 @@
     // The most telling observations, requests with the most crashes first. Preconditions: as above.
     std::vector<CrashObservation> observations(size_t most, MonoTime now) const;
 
-    // Forgets what is older than kMemory. Preconditions: as above.
+    // Forgets what is older than kRetentionMs. Preconditions: as above.
     void expire(MonoTime now);
 
 private:
--- a/src/health/RequestQuarantine.cpp
+++ b/src/health/RequestQuarantine.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 // All times in milliseconds.
-constexpr Millis kInstant = 10;           // An upstream that lasted no longer crashed at once.
-constexpr Millis kShortestRestart = 500;  // Two crashes of one upstream lie at least so far apart.
+constexpr Millis kImmediateCrashMs = 10;  // An upstream that lasted no longer crashed at once.
+constexpr Millis kMinRestartMs = 500;     // Two crashes of one upstream lie at least so far apart.
 
 bool Earlier(const CrashObservation& a, const CrashObservation& b) {
     return std::tie(a.crashed, a.id) < std::tie(b.crashed, b.id);
@@ -34,7 +34,7 @@
     const CrashObservation* last = nullptr;
     for (const CrashObservation& observation : observations) {
         const bool same = last != nullptr && observation.upstream == last->upstream &&
-                          observation.crashed - last->crashed < kShortestRestart;
+                          observation.crashed - last->crashed < kMinRestartMs;
         const bool after = last == nullptr || StartOf(observation, alwaysAtOnce) >= last->crashed;
         counted.push_back(after && !same);
         last = counted.back() ? &observation : last;
@@ -55,12 +55,12 @@
 }  // namespace
 
 bool RequestQuarantine::IsQuarantined(const Record& record, MonoTime now) {
-    return record.crashes >= kCrashes && now - record.lastCrash < kMemory;
+    return record.crashes >= kCrashThreshold && now - record.lastCrash < kRetentionMs;
 }
 
 RequestQuarantine::CrashEffect RequestQuarantine::noteCrash(const CrashObservation& observation,
                                                             MonoTime now) {
-    if (now - observation.crashed >= kMemory ||
+    if (now - observation.crashed >= kRetentionMs ||
         answeredSince(observation.request, observation.crashed)) {
         return CrashEffect::kUnchanged;
     }
@@ -73,7 +73,7 @@
     if (!record.add(observation, now)) {
         return CrashEffect::kUnchanged;
     }
-    const bool becameCause = before < kCrashes && record.crashes >= kCrashes;
+    const bool becameCause = before < kCrashThreshold && record.crashes >= kCrashThreshold;
     return becameCause ? CrashEffect::kQuarantined : CrashEffect::kRecorded;
 }
 
@@ -90,11 +90,11 @@
         return false;
     }
     std::erase_if(observations,
-                  [&](const CrashObservation& old) { return now - old.crashed >= kMemory; });
+                  [&](const CrashObservation& old) { return now - old.crashed >= kRetentionMs; });
     observations.insert(
         std::upper_bound(observations.begin(), observations.end(), observation, Earlier),
         observation);
-    lasted = lasted || observation.crashed - observation.sent > kInstant;
+    lasted = lasted || observation.crashed - observation.sent > kImmediateCrashMs;
     if (observations.size() > kMaxObservations) {
         DropOne(observations, InSequence(observations, !lasted));
     }
@@ -146,7 +146,7 @@
 }
 
 void RequestQuarantine::rememberAnswer(uint64_t request, MonoTime at, MonoTime now) {
-    if (m_answers.size() >= kMaxAnswers || now - m_answersSince >= kAnswerMemory) {
+    if (m_answers.size() >= kMaxAnswers || now - m_answersSince >= kMinAnswerRetentionMs) {
         m_olderAnswers = std::exchange(m_answers, {});
         m_answersSince = now;
     }
@@ -159,7 +159,7 @@
     if (it == m_records.end() || !IsQuarantined(it->second, now)) {
         return std::nullopt;
     }
-    return kMemory - (now - it->second.lastCrash);
+    return kRetentionMs - (now - it->second.lastCrash);
 }
 
 size_t RequestQuarantine::quarantined(MonoTime now) const {
@@ -180,7 +180,7 @@
     if (it != m_records.end()) {
         std::copy_if(it->second.observations.begin(), it->second.observations.end(),
                      std::back_inserter(out),
-                     [&](const CrashObservation& old) { return now - old.crashed < kMemory; });
+                     [&](const CrashObservation& old) { return now - old.crashed < kRetentionMs; });
     }
     return out;
 }
@@ -189,7 +189,7 @@
     std::vector<std::pair<size_t, CrashObservation>> ranked;
     for (const auto& [request, record] : m_records) {
         for (const CrashObservation& observation : record.observations) {
-            if (now - observation.crashed < kMemory) {
+            if (now - observation.crashed < kRetentionMs) {
                 ranked.emplace_back(record.crashes, observation);
             }
         }
@@ -212,7 +212,7 @@
     std::erase_if(m_records, [&](const auto& entry) {
         const Record& record = entry.second;
         const MonoTime last = std::max(record.lastCrash, record.answered.value_or(MonoTime{}));
-        return now - last >= kMemory;
+        return now - last >= kRetentionMs;
     });
 }
 
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -45,7 +45,7 @@
     CHECK(quarantine.noteCrash(Crash(2, 2000), {2000}) == CrashEffect::kRecorded);
     CHECK_FALSE(quarantine.timeLeft(kRequest, {2000}));
     CHECK(quarantine.noteCrash(Crash(3, 3000), {3000}) == CrashEffect::kQuarantined);
-    CHECK(quarantine.timeLeft(kRequest, {3000}) == RequestQuarantine::kMemory);
+    CHECK(quarantine.timeLeft(kRequest, {3000}) == RequestQuarantine::kRetentionMs);
     CHECK(quarantine.quarantined({3000}) == 1);
     CHECK_FALSE(quarantine.timeLeft(kRequest + 1, {3000}));
 }
@@ -101,7 +101,7 @@
 TEST_CASE("A quarantine ends ten minutes after the last crash, and suspicions with it") {
     RequestQuarantine quarantine;
     NoteAll(quarantine, {Crash(1, 1000), Crash(2, 2000), Crash(3, 3000)});
-    const MonoTime end = MonoTime{3000} + RequestQuarantine::kMemory;
+    const MonoTime end = MonoTime{3000} + RequestQuarantine::kRetentionMs;
     CHECK(quarantine.timeLeft(kRequest, end - 1) == 1);
     CHECK_FALSE(quarantine.timeLeft(kRequest, end));
     CHECK(quarantine.noteCrash(Crash(4, 3000), end) == CrashEffect::kUnchanged);
@@ -111,7 +111,7 @@
 
 TEST_CASE("Crashes that lie further apart than the memory do not add up") {
     RequestQuarantine quarantine;
-    const Millis apart = RequestQuarantine::kMemory * 2 / 3;
+    const Millis apart = RequestQuarantine::kRetentionMs * 2 / 3;
     NoteAll(quarantine, {Crash(1, apart), Crash(2, 2 * apart), Crash(3, 3 * apart)});
     CHECK(quarantine.crashes(kRequest) == 2);
 }
