--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -98,7 +98,7 @@
     void tellAnswer(const AnswerNews& news);
     void noteHeard(const CrashObservation& observation);
     bool isQuarantined(uint64_t request, MonoTime now) const {
-        return m_quarantine.timeLeft(request, now).has_value();
+        return m_quarantine.remainingTime(request, now).has_value();
     }
     std::vector<OutgoingFrame> takeCorrections(MonoTime now);
     std::vector<OutgoingFrame> takeSuspects(const std::string& self,
--- a/include/health/RequestQuarantine.h
+++ b/include/health/RequestQuarantine.h
@@ -58,17 +58,17 @@
 
     // When a request with a crash at `crashed` was last answered, if that was later and so clears
     // it of the crash. Preconditions: none.
-    std::optional<MonoTime> answeredSince(uint64_t request, MonoTime crashed) const;
+    std::optional<MonoTime> answerAfter(uint64_t request, MonoTime crashed) const;
 
     // Whether two crashes, one after the other, were ever known of a request.
     // Preconditions: none.
-    bool wasSuspect(uint64_t request) const;
+    bool wasSuspected(uint64_t request) const;
 
     // How long a request is to be kept from upstreams, in milliseconds; nothing if it is not.
     // Preconditions: as above.
-    std::optional<Millis> timeLeft(uint64_t request, MonoTime now) const;
+    std::optional<Millis> remainingTime(uint64_t request, MonoTime now) const;
 
-    // Whether no request is suspected at all. Preconditions: none.
+    // Whether no request is wasSuspectedOnce at all. Preconditions: none.
     bool empty() const { return m_records.empty(); }
     // Requests in quarantine. Preconditions: as above.
     size_t quarantined(MonoTime now) const;
@@ -90,15 +90,15 @@
         MonoTime lastCrash;
         std::optional<MonoTime> answered;  // Crashes before prove nothing.
 
-        bool lasted = false;     // Some upstream did not crash at once.
-        bool suspected = false;  // It had two crashes at some time.
+        bool hasDelayedCrash = false;   // Some upstream did not crash at once.
+        bool wasSuspectedOnce = false;  // It had two crashes at some time.
 
         bool add(const CrashObservation& observation, MonoTime now);
         void count();
     };
 
     static bool IsQuarantined(const Record& record, MonoTime now);
-    void makeRoom(MonoTime now);
+    void evictOne(MonoTime now);
     void rememberAnswer(uint64_t request, MonoTime at, MonoTime now);
     std::optional<MonoTime> answerOf(uint64_t request) const;
 
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -89,7 +89,7 @@
 // told of both.
 bool CrashExchange::learn(const CrashObservation& observation, Origin origin, MonoTime now) {
     using CrashEffect = RequestQuarantine::CrashEffect;
-    const bool wasSuspect = isSuspect(observation.request);
+    const bool wasSuspected = isSuspect(observation.request);
     const bool wasQuarantined = isQuarantined(observation.request, now);
     const CrashEffect learned = m_quarantine.noteCrash(observation, now);
     if (learned == CrashEffect::kUnchanged || (wasQuarantined && origin == Origin::kTold)) {
@@ -101,7 +101,7 @@
     }
     if (learned == CrashEffect::kQuarantined) {
         tellAll(observation.request, kQuarantineRounds, now);
-    } else if (wasSuspect) {
+    } else if (wasSuspected) {
         Append(m_suspects, {observation, kRounds});
     } else if (isSuspect(observation.request)) {
         tellAll(observation.request, kRounds, now);
@@ -125,11 +125,11 @@
 // What an answer clears is not told any more. If no box was told of it, the answer need not be. An
 // answer to a suspect goes on also from boxes that it tells nothing new: others still wait for it.
 void CrashExchange::learnAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now) {
-    const bool wasSuspect = isSuspect(request);
-    const bool isLater = !m_quarantine.answeredSince(request, at);
+    const bool wasSuspected = isSuspect(request);
+    const bool isLater = !m_quarantine.answerAfter(request, at);
     const bool cleared = m_quarantine.noteAnswer(request, at, now);
     if (!cleared) {
-        if (origin == Origin::kTold && isLater && m_quarantine.wasSuspect(request)) {
+        if (origin == Origin::kTold && isLater && m_quarantine.wasSuspected(request)) {
             tellAnswer({request, at, kRounds});
         }
         return;
@@ -142,7 +142,7 @@
     std::erase_if(m_suspects, [&](const CrashNews& news) {
         return news.observation.request == request && news.observation.crashed <= at;
     });
-    if (wasSuspect) {
+    if (wasSuspected) {
         tellAnswer({request, at, kRounds});
     } else if (untold == 0) {
         Append(m_singleAnswers, {request, at, 1});
@@ -173,7 +173,7 @@
         const MonoTime sent = crashed - Millis{entry.ran_ms()};
         const CrashObservation observation{entry.request(), entry.id(), entry.upstream(), sent,
                                            crashed};
-        if (m_quarantine.answeredSince(entry.request(), crashed) ||
+        if (m_quarantine.answerAfter(entry.request(), crashed) ||
             (isQuarantined(entry.request(), now) && CrashesOf(entry.request(), reports) == 1)) {
             m_corrections[from].insert(entry.request());
         }
@@ -314,7 +314,7 @@
     for (const auto& [box, requests] : m_corrections) {
         wire::CrashReportsT reports;
         for (const uint64_t request : requests) {
-            if (const auto answered = m_quarantine.answeredSince(request, MonoTime{})) {
+            if (const auto answered = m_quarantine.answerAfter(request, MonoTime{})) {
                 AddAnswer(request, *answered, now, reports);
             }
             for (const CrashObservation& observation : m_quarantine.observationsOf(request, now)) {
--- a/src/health/RequestQuarantine.cpp
+++ b/src/health/RequestQuarantine.cpp
@@ -10,10 +10,11 @@
 namespace {
 
 // All times in milliseconds.
-constexpr Millis kImmediateCrashMs = 10;  // An upstream that lasted no longer crashed at once.
-constexpr Millis kMinRestartMs = 500;     // Two crashes of one upstream lie at least so far apart.
+constexpr Millis kImmediateCrashMs =
+    10;  // An upstream that hasDelayedCrash no longer crashed at once.
+constexpr Millis kMinRestartMs = 500;  // Two crashes of one upstream lie at least so far apart.
 
-bool Earlier(const CrashObservation& a, const CrashObservation& b) {
+bool CrashedBefore(const CrashObservation& a, const CrashObservation& b) {
     return std::tie(a.crashed, a.id) < std::tie(b.crashed, b.id);
 }
 
@@ -21,7 +22,7 @@
 // began after a crash has its middle well after it, one that was under way then well before: boxes'
 // times of the same moment differ by the way of a frame. A request that always crashes its upstream
 // at once leaves no such room.
-MonoTime StartOf(const CrashObservation& observation, bool alwaysAtOnce) {
+MonoTime EstimatedStart(const CrashObservation& observation, bool alwaysAtOnce) {
     const Millis ran = observation.crashed - observation.sent;
     return alwaysAtOnce ? observation.crashed : observation.sent + ran / 2;
 }
@@ -29,13 +30,15 @@
 // Which of the observations, ordered by the time of the crash, make up the longest sequence in
 // which each attempt began after the crash before it. What ends together at one upstream is one
 // crash.
-std::vector<bool> InSequence(const std::vector<CrashObservation>& observations, bool alwaysAtOnce) {
+std::vector<bool> LongestSequence(const std::vector<CrashObservation>& observations,
+                                  bool alwaysAtOnce) {
     std::vector<bool> counted;
     const CrashObservation* last = nullptr;
     for (const CrashObservation& observation : observations) {
         const bool same = last != nullptr && observation.upstream == last->upstream &&
                           observation.crashed - last->crashed < kMinRestartMs;
-        const bool after = last == nullptr || StartOf(observation, alwaysAtOnce) >= last->crashed;
+        const bool after =
+            last == nullptr || EstimatedStart(observation, alwaysAtOnce) >= last->crashed;
         counted.push_back(after && !same);
         last = counted.back() ? &observation : last;
     }
@@ -44,7 +47,7 @@
 
 // Drops the last observation that does not count; of those that all count, the last. The same ones
 // are left whatever the order in which they came.
-void DropOne(std::vector<CrashObservation>& observations, const std::vector<bool>& counted) {
+void DropSurplus(std::vector<CrashObservation>& observations, const std::vector<bool>& counted) {
     const auto uncounted = std::find(counted.rbegin(), counted.rend(), false);
     const auto at = uncounted == counted.rend()
                         ? observations.size() - 1
@@ -61,11 +64,11 @@
 RequestQuarantine::CrashEffect RequestQuarantine::noteCrash(const CrashObservation& observation,
                                                             MonoTime now) {
     if (now - observation.crashed >= kRetentionMs ||
-        answeredSince(observation.request, observation.crashed)) {
+        answerAfter(observation.request, observation.crashed)) {
         return CrashEffect::kUnchanged;
     }
     if (!m_records.contains(observation.request) && m_records.size() >= kMaxRequests) {
-        makeRoom(now);
+        evictOne(now);
     }
     Record& record = m_records[observation.request];
     record.lastCrash = std::max(record.lastCrash, observation.crashed);
@@ -78,9 +81,9 @@
 }
 
 void RequestQuarantine::Record::count() {
-    const std::vector<bool> counted = InSequence(observations, !lasted);
+    const std::vector<bool> counted = LongestSequence(observations, !hasDelayedCrash);
     crashes = static_cast<size_t>(std::count(counted.begin(), counted.end(), true));
-    suspected = suspected || crashes > 1;
+    wasSuspectedOnce = wasSuspectedOnce || crashes > 1;
 }
 
 // True if the observation is new and was kept.
@@ -92,11 +95,11 @@
     std::erase_if(observations,
                   [&](const CrashObservation& old) { return now - old.crashed >= kRetentionMs; });
     observations.insert(
-        std::upper_bound(observations.begin(), observations.end(), observation, Earlier),
+        std::upper_bound(observations.begin(), observations.end(), observation, CrashedBefore),
         observation);
-    lasted = lasted || observation.crashed - observation.sent > kImmediateCrashMs;
+    hasDelayedCrash = hasDelayedCrash || observation.crashed - observation.sent > kImmediateCrashMs;
     if (observations.size() > kMaxObservations) {
-        DropOne(observations, InSequence(observations, !lasted));
+        DropSurplus(observations, LongestSequence(observations, !hasDelayedCrash));
     }
     count();
     return std::any_of(observations.begin(), observations.end(), isSame);
@@ -121,12 +124,12 @@
     return cleared > 0;
 }
 
-bool RequestQuarantine::wasSuspect(uint64_t request) const {
+bool RequestQuarantine::wasSuspected(uint64_t request) const {
     const auto it = m_records.find(request);
-    return it != m_records.end() && it->second.suspected;
+    return it != m_records.end() && it->second.wasSuspectedOnce;
 }
 
-std::optional<MonoTime> RequestQuarantine::answeredSince(uint64_t request, MonoTime crashed) const {
+std::optional<MonoTime> RequestQuarantine::answerAfter(uint64_t request, MonoTime crashed) const {
     const std::optional<MonoTime> answered = answerOf(request);
     return answered && crashed <= *answered ? answered : std::nullopt;
 }
@@ -154,7 +157,7 @@
     last = std::max(last, std::min(at, now));
 }
 
-std::optional<Millis> RequestQuarantine::timeLeft(uint64_t request, MonoTime now) const {
+std::optional<Millis> RequestQuarantine::remainingTime(uint64_t request, MonoTime now) const {
     const auto it = m_records.find(request);
     if (it == m_records.end() || !IsQuarantined(it->second, now)) {
         return std::nullopt;
@@ -216,7 +219,7 @@
     });
 }
 
-void RequestQuarantine::makeRoom(MonoTime now) {
+void RequestQuarantine::evictOne(MonoTime now) {
     expire(now);
     if (m_records.size() < kMaxRequests) {
         return;
--- a/tests/CrashExchangeTest.cpp
+++ b/tests/CrashExchangeTest.cpp
@@ -76,7 +76,7 @@
     uint32_t newUpstream() { return static_cast<uint32_t>(m_random()); }
 
     bool isQuarantined(size_t at, uint64_t request) {
-        return box(at).quarantine.timeLeft(request, m_now).has_value();
+        return box(at).quarantine.remainingTime(request, m_now).has_value();
     }
 
     void play(Millis time) {
@@ -113,9 +113,10 @@
     }
 
     size_t inQuarantine(uint64_t request) {
-        return static_cast<size_t>(std::count_if(
-            m_boxes.begin(), m_boxes.end(),
-            [&](const auto& box) { return box->quarantine.timeLeft(request, m_now).has_value(); }));
+        return static_cast<size_t>(
+            std::count_if(m_boxes.begin(), m_boxes.end(), [&](const auto& box) {
+                return box->quarantine.remainingTime(request, m_now).has_value();
+            }));
     }
 
     // By the box that sent most.
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -43,11 +43,11 @@
     RequestQuarantine quarantine;
     CHECK(quarantine.noteCrash(Crash(1, 1000), {1000}) == CrashEffect::kRecorded);
     CHECK(quarantine.noteCrash(Crash(2, 2000), {2000}) == CrashEffect::kRecorded);
-    CHECK_FALSE(quarantine.timeLeft(kRequest, {2000}));
+    CHECK_FALSE(quarantine.remainingTime(kRequest, {2000}));
     CHECK(quarantine.noteCrash(Crash(3, 3000), {3000}) == CrashEffect::kQuarantined);
-    CHECK(quarantine.timeLeft(kRequest, {3000}) == RequestQuarantine::kRetentionMs);
+    CHECK(quarantine.remainingTime(kRequest, {3000}) == RequestQuarantine::kRetentionMs);
     CHECK(quarantine.quarantined({3000}) == 1);
-    CHECK_FALSE(quarantine.timeLeft(kRequest + 1, {3000}));
+    CHECK_FALSE(quarantine.remainingTime(kRequest + 1, {3000}));
 }
 
 // Guards against counting a crash twice that several boxes tell of.
@@ -70,7 +70,7 @@
     CHECK(quarantine.crashes(kRequest) == 1);
     quarantine.noteCrash(Crash(30, 2000), {2000});
     quarantine.noteCrash(Crash(31, 3000), {3000});
-    CHECK(quarantine.timeLeft(kRequest, {3000}));
+    CHECK(quarantine.remainingTime(kRequest, {3000}));
 }
 
 // Guards against losing count where a box hears of a crash later than it happened.
@@ -93,17 +93,17 @@
     // Told late by a box that had not heard of the answer.
     CHECK(quarantine.noteCrash(Crash(4, 2200), {3100}) == CrashEffect::kUnchanged);
     NoteAll(quarantine, {Crash(5, 4000), Crash(6, 5000)});
-    CHECK(quarantine.timeLeft(kRequest, {5000}));
+    CHECK(quarantine.remainingTime(kRequest, {5000}));
     CHECK(quarantine.noteAnswer(kRequest, {5500}, {5500}));
-    CHECK_FALSE(quarantine.timeLeft(kRequest, {5500}));
+    CHECK_FALSE(quarantine.remainingTime(kRequest, {5500}));
 }
 
 TEST_CASE("A quarantine ends ten minutes after the last crash, and suspicions with it") {
     RequestQuarantine quarantine;
     NoteAll(quarantine, {Crash(1, 1000), Crash(2, 2000), Crash(3, 3000)});
     const MonoTime end = MonoTime{3000} + RequestQuarantine::kRetentionMs;
-    CHECK(quarantine.timeLeft(kRequest, end - 1) == 1);
-    CHECK_FALSE(quarantine.timeLeft(kRequest, end));
+    CHECK(quarantine.remainingTime(kRequest, end - 1) == 1);
+    CHECK_FALSE(quarantine.remainingTime(kRequest, end));
     CHECK(quarantine.noteCrash(Crash(4, 3000), end) == CrashEffect::kUnchanged);
     quarantine.expire(end);
     CHECK(quarantine.empty());
@@ -122,7 +122,7 @@
     for (uint32_t i = 0; i < 40; ++i) {
         quarantine.noteCrash(Crash(i, 1000 + i * 60, 150), {1000 + i * 60});
     }
-    CHECK(quarantine.timeLeft(kRequest, {3400}));
+    CHECK(quarantine.remainingTime(kRequest, {3400}));
 }
 
 // Guards against counting one crash for each of the attempts that were there.
@@ -138,7 +138,7 @@
 TEST_CASE("Upstreams that crash at once are counted one by one") {
     RequestQuarantine quarantine;
     NoteAll(quarantine, {Crash(1, 1001, 0), Crash(2, 1001, 1), Crash(3, 1001, 0)});
-    CHECK(quarantine.timeLeft(kRequest, {1001}));
+    CHECK(quarantine.remainingTime(kRequest, {1001}));
 }
 
 // Guards against blaming a request of which many copies had just been sent when upstreams were
@@ -166,7 +166,7 @@
             for (const CrashObservation& crash : crashes) {
                 quarantine.noteCrash(crash, now);
             }
-            return quarantine.timeLeft(kRequest, now).has_value();
+            return quarantine.remainingTime(kRequest, now).has_value();
         };
         const bool before = known();
         inQuarantine += before ? 1 : 0;
@@ -183,7 +183,7 @@
     for (uint32_t i = 0; i < 2 * RequestQuarantine::kMaxRequests; ++i) {
         quarantine.noteCrash(Crash(100 + i, 4000, 50, 1000 + i), {4000});
     }
-    CHECK(quarantine.timeLeft(kRequest, {4000}));
+    CHECK(quarantine.remainingTime(kRequest, {4000}));
     CHECK(quarantine.observations(2 * RequestQuarantine::kMaxRequests, {4000}).size() <=
           RequestQuarantine::kMaxRequests * RequestQuarantine::kMaxObservations);
     const auto most = quarantine.observations(3, {4000});
