--- a/include/gateway/QuarantineController.h
+++ b/include/gateway/QuarantineController.h
@@ -26,10 +26,10 @@
 
     // How long the request is to be kept from upstreams, in milliseconds; nothing if it is not.
     // Preconditions: none.
-    std::optional<Millis> remainingTime(uint64_t fingerprint, MonoTime now) const {
+    std::optional<Millis> timeLeft(uint64_t fingerprint, MonoTime now) const {
         return m_quarantine.remainingTime(fingerprint, now);
     }
-    // Whether any request is wasSuspectedOnce; if none is, fingerprints need not be computed.
+    // Whether any request is suspected; if none is, fingerprints need not be computed.
     // Preconditions: none.
     bool suspectsAny() const { return !m_quarantine.empty(); }
 
--- a/include/health/RequestQuarantine.h
+++ b/include/health/RequestQuarantine.h
@@ -68,12 +68,12 @@
     // Preconditions: as above.
     std::optional<Millis> remainingTime(uint64_t request, MonoTime now) const;
 
-    // Whether no request is wasSuspectedOnce at all. Preconditions: none.
+    // Whether no request is suspected at all. Preconditions: none.
     bool empty() const { return m_records.empty(); }
     // Requests in quarantine. Preconditions: as above.
     size_t quarantined(MonoTime now) const;
     // Crashes of which a request may be the cause; 0: none. Preconditions: none.
-    size_t crashes(uint64_t request) const;
+    size_t crashCount(uint64_t request) const;
 
     // The observations of one request, by the time of the crash. Preconditions: as above.
     std::vector<CrashObservation> observationsOf(uint64_t request, MonoTime now) const;
@@ -86,12 +86,12 @@
 private:
     struct Record {
         std::vector<CrashObservation> observations;  // By the time of the crash.
-        size_t crashes = 0;                          // One after the other, among them.
+        size_t crashCount = 0;                       // One after the other, among them.
         MonoTime lastCrash;
         std::optional<MonoTime> answered;  // Crashes before prove nothing.
 
-        bool hasDelayedCrash = false;   // Some upstream did not crash at once.
-        bool wasSuspectedOnce = false;  // It had two crashes at some time.
+        bool hasDelayedCrash = false;  // Some upstream did not crash at once.
+        bool hadTwoCrashes = false;    // It had two crashes at some time.
 
         bool add(const CrashObservation& observation, MonoTime now);
         void count();
--- a/src/gateway/QuarantineController.cpp
+++ b/src/gateway/QuarantineController.cpp
@@ -50,7 +50,7 @@
 }
 
 void QuarantineController::noteQuarantined(uint64_t fingerprint, const std::string& source) {
-    m_log.quarantined(fingerprint, m_quarantine.crashes(fingerprint), source);
+    m_log.quarantined(fingerprint, m_quarantine.crashCount(fingerprint), source);
 }
 
 void QuarantineController::expire(MonoTime now) {
--- a/src/health/RequestQuarantine.cpp
+++ b/src/health/RequestQuarantine.cpp
@@ -58,7 +58,7 @@
 }  // namespace
 
 bool RequestQuarantine::IsQuarantined(const Record& record, MonoTime now) {
-    return record.crashes >= kCrashThreshold && now - record.lastCrash < kRetentionMs;
+    return record.crashCount >= kCrashThreshold && now - record.lastCrash < kRetentionMs;
 }
 
 RequestQuarantine::CrashEffect RequestQuarantine::noteCrash(const CrashObservation& observation,
@@ -72,18 +72,18 @@
     }
     Record& record = m_records[observation.request];
     record.lastCrash = std::max(record.lastCrash, observation.crashed);
-    const size_t before = record.crashes;
+    const size_t before = record.crashCount;
     if (!record.add(observation, now)) {
         return CrashEffect::kUnchanged;
     }
-    const bool becameCause = before < kCrashThreshold && record.crashes >= kCrashThreshold;
+    const bool becameCause = before < kCrashThreshold && record.crashCount >= kCrashThreshold;
     return becameCause ? CrashEffect::kQuarantined : CrashEffect::kRecorded;
 }
 
 void RequestQuarantine::Record::count() {
     const std::vector<bool> counted = LongestSequence(observations, !hasDelayedCrash);
-    crashes = static_cast<size_t>(std::count(counted.begin(), counted.end(), true));
-    wasSuspectedOnce = wasSuspectedOnce || crashes > 1;
+    crashCount = static_cast<size_t>(std::count(counted.begin(), counted.end(), true));
+    hadTwoCrashes = hadTwoCrashes || crashCount > 1;
 }
 
 // True if the observation is new and was kept.
@@ -126,7 +126,7 @@
 
 bool RequestQuarantine::wasSuspected(uint64_t request) const {
     const auto it = m_records.find(request);
-    return it != m_records.end() && it->second.wasSuspectedOnce;
+    return it != m_records.end() && it->second.hadTwoCrashes;
 }
 
 std::optional<MonoTime> RequestQuarantine::answerAfter(uint64_t request, MonoTime crashed) const {
@@ -171,9 +171,9 @@
                       [&](const auto& entry) { return IsQuarantined(entry.second, now); }));
 }
 
-size_t RequestQuarantine::crashes(uint64_t request) const {
+size_t RequestQuarantine::crashCount(uint64_t request) const {
     const auto it = m_records.find(request);
-    return it == m_records.end() ? 0 : it->second.crashes;
+    return it == m_records.end() ? 0 : it->second.crashCount;
 }
 
 std::vector<CrashObservation> RequestQuarantine::observationsOf(uint64_t request,
@@ -193,7 +193,7 @@
     for (const auto& [request, record] : m_records) {
         for (const CrashObservation& observation : record.observations) {
             if (now - observation.crashed < kRetentionMs) {
-                ranked.emplace_back(record.crashes, observation);
+                ranked.emplace_back(record.crashCount, observation);
             }
         }
     }
@@ -205,7 +205,7 @@
     ranked.resize(std::min(most, ranked.size()));
     std::vector<CrashObservation> out;
     out.reserve(ranked.size());
-    for (const auto& [crashes, observation] : ranked) {
+    for (const auto& [crashCount, observation] : ranked) {
         out.push_back(observation);
     }
     return out;
@@ -226,8 +226,8 @@
     }
     const auto least =
         std::min_element(m_records.begin(), m_records.end(), [](const auto& a, const auto& b) {
-            return std::tie(a.second.crashes, a.second.lastCrash) <
-                   std::tie(b.second.crashes, b.second.lastCrash);
+            return std::tie(a.second.crashCount, a.second.lastCrash) <
+                   std::tie(b.second.crashCount, b.second.lastCrash);
         });
     m_records.erase(least);
 }
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -57,7 +57,7 @@
         quarantine.noteCrash(Crash(1, 1000), {1000 + i});
         quarantine.noteCrash(Crash(2, 2000), {2000 + i});
     }
-    CHECK(quarantine.crashes(kRequest) == 2);
+    CHECK(quarantine.crashCount(kRequest) == 2);
     CHECK(quarantine.noteCrash(Crash(2, 2000), {2100}) == CrashEffect::kUnchanged);
 }
 
@@ -67,7 +67,7 @@
     for (uint32_t i = 0; i < 20; ++i) {
         quarantine.noteCrash(Crash(i, 1000 + i, 400), {1100});
     }
-    CHECK(quarantine.crashes(kRequest) == 1);
+    CHECK(quarantine.crashCount(kRequest) == 1);
     quarantine.noteCrash(Crash(30, 2000), {2000});
     quarantine.noteCrash(Crash(31, 3000), {3000});
     CHECK(quarantine.remainingTime(kRequest, {3000}));
@@ -79,7 +79,7 @@
     constexpr Millis kLate = 15;
     NoteAll(quarantine,
             {Crash(1, 1000 + kLate), Crash(2, 1050), Crash(3, 1100 + kLate), Crash(4, 1150)});
-    CHECK(quarantine.crashes(kRequest) == 4);
+    CHECK(quarantine.crashCount(kRequest) == 4);
 }
 
 // Guards against a quarantine of what upstreams can run.
@@ -89,7 +89,7 @@
     CHECK(quarantine.noteAnswer(kRequest, {2500}, {2500}));
     CHECK_FALSE(quarantine.noteAnswer(kRequest + 1, {2500}, {2500}));
     quarantine.noteCrash(Crash(3, 3000), {3000});
-    CHECK(quarantine.crashes(kRequest) == 1);
+    CHECK(quarantine.crashCount(kRequest) == 1);
     // Told late by a box that had not heard of the answer.
     CHECK(quarantine.noteCrash(Crash(4, 2200), {3100}) == CrashEffect::kUnchanged);
     NoteAll(quarantine, {Crash(5, 4000), Crash(6, 5000)});
@@ -113,7 +113,7 @@
     RequestQuarantine quarantine;
     const Millis apart = RequestQuarantine::kRetentionMs * 2 / 3;
     NoteAll(quarantine, {Crash(1, apart), Crash(2, 2 * apart), Crash(3, 3 * apart)});
-    CHECK(quarantine.crashes(kRequest) == 2);
+    CHECK(quarantine.crashCount(kRequest) == 2);
 }
 
 // Guards against a cause that is never found since its copies always overlap.
@@ -131,7 +131,7 @@
     for (uint32_t i = 0; i < 6; ++i) {
         quarantine.noteCrash({kRequest, i, 77, {998}, {1000 + i}}, {1010});
     }
-    CHECK(quarantine.crashes(kRequest) == 1);
+    CHECK(quarantine.crashCount(kRequest) == 1);
 }
 
 // Guards against losing count of crashes that follow each other within a millisecond.
@@ -148,7 +148,7 @@
     for (uint32_t i = 0; i < 24; ++i) {
         quarantine.noteCrash(Crash(i, 1000, 5 * i), {1010});
     }
-    CHECK(quarantine.crashes(kRequest) == 1);
+    CHECK(quarantine.crashCount(kRequest) == 1);
 }
 
 TEST_CASE("Whether a request is in quarantine does not depend on the order of what is told") {
