--- a/include/health/UpstreamHealth.h
+++ b/include/health/UpstreamHealth.h
@@ -1,5 +1,6 @@
 // Decides which upstreams are ejected for a while, from what attempts saw of them. Nothing is
-// probed: after a growing pause an upstream gets requests again, and one good answer clears it.
+// probed: after a growing lastEjection an upstream gets requests again, and one good answer clears
+// it.
 //
 // Inputs: the signs of attempts (AttemptHealthSignal) with the times at which they began and ended.
 // Ejected upstreams are passed over by ChooseUpstream as long as there is another one.
@@ -22,15 +23,15 @@
 
 // All times in milliseconds.
 struct HealthSettings {
-    // The first pause and the longest; each is twice the one before.
+    // The first lastEjection and the longest; each is twice the one before.
     Millis firstEjection = 1000;
     Millis maxEjection = 8000;
-    Millis memory = 5000;      // Answers older than this fade out of the failure share.
-    double failedShare = 0.4;  // Above this share of failures an upstream is ejected: some that
-                               // fail half of what they run are worse than the others,
+    Millis decayTime = 5000;       // Answers older than this decay out of the failure share.
+    double maxFailureShare = 0.4;  // Above this share of failures an upstream is ejected: some that
+                                   // fail half of what they run are worse than the others,
     double minFailures =
-        4.0;            // once it has shown about so many, so that one failure proves nothing.
-    int minSilent = 2;  // Silent answers in a row that have the same effect.
+        4.0;  // once it has shown about so many, so that one failure proves nothing.
+    int minConsecutiveSilent = 2;  // Silent answers in a row that have the same effect.
 };
 
 // Not thread safe: one task owns it.
@@ -53,17 +54,17 @@
     struct Record {
         double answered = 0;
         double failed = 0;
-        int silentInARow = 0;
-        Millis pause = 0;
-        MonoTime until;
-        MonoTime seen;
-        MonoTime answeredAt;
+        int consecutiveSilent = 0;
+        Millis lastEjection = 0;
+        MonoTime ejectedUntil;
+        MonoTime decayedAt;
+        MonoTime lastAnswerAt;
     };
 
-    void fade(Record& record, MonoTime now) const;
+    void decay(Record& record, MonoTime now) const;
     void eject(Record& record, MonoTime now) const;
     static void noteAnswer(Record& record, MonoTime now);
-    bool provesTrouble(Record& record, HealthSignal sign) const;
+    bool warrantsEjection(Record& record, HealthSignal sign) const;
 
     HealthSettings m_settings;
     std::map<std::string, Record> m_records;
--- a/src/health/UpstreamHealth.cpp
+++ b/src/health/UpstreamHealth.cpp
@@ -5,18 +5,19 @@
 
 namespace onyx {
 
-void UpstreamHealth::fade(Record& record, MonoTime now) const {
-    const double age = static_cast<double>(now - record.seen);
-    const double factor = std::exp(-age / static_cast<double>(m_settings.memory));
+void UpstreamHealth::decay(Record& record, MonoTime now) const {
+    const double age = static_cast<double>(now - record.decayedAt);
+    const double factor = std::exp(-age / static_cast<double>(m_settings.decayTime));
     record.answered *= factor;
     record.failed *= factor;
-    record.seen = now;
+    record.decayedAt = now;
 }
 
 void UpstreamHealth::eject(Record& record, MonoTime now) const {
-    record.pause = record.pause == 0 ? m_settings.firstEjection
-                                     : std::min(m_settings.maxEjection, record.pause * 2);
-    record.until = now + record.pause;
+    record.lastEjection = record.lastEjection == 0
+                              ? m_settings.firstEjection
+                              : std::min(m_settings.maxEjection, record.lastEjection * 2);
+    record.ejectedUntil = now + record.lastEjection;
     record.answered = 0;
     record.failed = 0;
 }
@@ -24,22 +25,22 @@
 bool UpstreamHealth::note(const std::string& upstream, HealthSignal sign, MonoTime sent,
                           MonoTime now) {
     Record& record = m_records[upstream];
-    fade(record, now);
+    decay(record, now);
     if (sign == HealthSignal::kAnswered || sign == HealthSignal::kFailed) {
-        record.answeredAt = now;
+        record.lastAnswerAt = now;
     }
-    if (sign == HealthSignal::kSilent && record.answeredAt >= sent) {
+    if (sign == HealthSignal::kSilent && record.lastAnswerAt >= sent) {
         return false;
     }
     if (sign == HealthSignal::kAnswered) {
         noteAnswer(record, now);
         return false;
     }
-    if (now < record.until) {
+    if (now < record.ejectedUntil) {
         return false;  // Attempts that began before the ejection prove nothing new.
     }
     record.failed += 1;
-    if (!provesTrouble(record, sign)) {
+    if (!warrantsEjection(record, sign)) {
         return false;
     }
     eject(record, now);
@@ -48,26 +49,27 @@
 
 void UpstreamHealth::noteAnswer(Record& record, MonoTime now) {
     record.answered += 1;
-    record.silentInARow = 0;
-    if (now >= record.until) {
-        record.pause = 0;
+    record.consecutiveSilent = 0;
+    if (now >= record.ejectedUntil) {
+        record.lastEjection = 0;
     }
 }
 
-bool UpstreamHealth::provesTrouble(Record& record, HealthSignal sign) const {
+bool UpstreamHealth::warrantsEjection(Record& record, HealthSignal sign) const {
     if (sign == HealthSignal::kUnreachable) {
         return true;
     }
-    if (sign == HealthSignal::kSilent && ++record.silentInARow >= m_settings.minSilent) {
+    if (sign == HealthSignal::kSilent &&
+        ++record.consecutiveSilent >= m_settings.minConsecutiveSilent) {
         return true;
     }
     const double share = record.failed / (record.failed + record.answered);
-    return record.failed > m_settings.minFailures - 0.5 && share > m_settings.failedShare;
+    return record.failed > m_settings.minFailures - 0.5 && share > m_settings.maxFailureShare;
 }
 
 bool UpstreamHealth::isEjected(const std::string& upstream, MonoTime now) const {
     const auto it = m_records.find(upstream);
-    return it != m_records.end() && now < it->second.until;
+    return it != m_records.end() && now < it->second.ejectedUntil;
 }
 
 }  // namespace onyx
