--- a/include/health/ColdUpstreams.h
+++ b/include/health/ColdUpstreams.h
@@ -33,11 +33,11 @@
     std::optional<Millis> coldLeft(const Incarnation& upstream, MonoTime now) const;
 
     // An attempt of this box goes to the upstream. Preconditions: as above.
-    void noteSent(const Incarnation& upstream, MonoTime now);
+    void recordSend(const Incarnation& upstream, MonoTime now);
 
     // How long this box waits before it sends a cold upstream another request, if its requests are
     // `spacing` milliseconds apart; 0: it may send now. Preconditions: as above.
-    Millis waitFor(const Incarnation& upstream, Millis spacing, MonoTime now) const;
+    Millis waitBeforeSend(const Incarnation& upstream, Millis spacing, MonoTime now) const;
 
 private:
     struct Record {
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -26,7 +26,7 @@
     ColdLimit limit = knowledge.settings.cold;
     limit.perSecond = question.spec->coldPerSecond;
     const Millis spacing = records.coldShare().spacing(limit);
-    return std::min(records.cold().waitFor(incarnation, spacing, now), *coldLeft);
+    return std::min(records.cold().waitBeforeSend(incarnation, spacing, now), *coldLeft);
 }
 
 // Both the route's and the team's homes bind. A zone whose region is not known is in none of them.
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -115,7 +115,7 @@
     m_context.records.expirePeerLoads(now);
     auto place = PlaceAttempt(m_context.placement(), placementQuestion(), now);
     if (place) {
-        m_context.records.cold().noteSent(place->upstream.incarnation(), now);
+        m_context.records.cold().recordSend(place->upstream.incarnation(), now);
     }
     return place;
 }
--- a/src/health/ColdUpstreams.cpp
+++ b/src/health/ColdUpstreams.cpp
@@ -42,14 +42,15 @@
     return record->until - now;
 }
 
-void ColdUpstreams::noteSent(const Incarnation& upstream, MonoTime now) {
+void ColdUpstreams::recordSend(const Incarnation& upstream, MonoTime now) {
     const auto it = m_records.find(upstream.id);
     if (it != m_records.end() && it->second.until > now) {
         it->second.sent = now;
     }
 }
 
-Millis ColdUpstreams::waitFor(const Incarnation& upstream, Millis spacing, MonoTime now) const {
+Millis ColdUpstreams::waitBeforeSend(const Incarnation& upstream, Millis spacing,
+                                     MonoTime now) const {
     const Record* record = find(upstream);
     if (record == nullptr || !record->sent) {
         return 0;
--- a/tests/ColdShareTest.cpp
+++ b/tests/ColdShareTest.cpp
@@ -74,7 +74,7 @@
             for (const auto& box : m_boxes) {
                 box->cold.note(kUpstream, 3000, m_now);
                 if (mayGo(*box)) {
-                    box->cold.noteSent(kUpstream, m_now);
+                    box->cold.recordSend(kUpstream, m_now);
                     const auto delay = static_cast<Millis>(uniform() * kMaxDelay);
                     arrivals.push_back(m_now.ms + delay);
                 }
@@ -87,7 +87,7 @@
 private:
     bool mayGo(const Box& box) const {
         return box.share.takesPart(kUpstream.id, m_now) &&
-               box.cold.waitFor(kUpstream, box.share.spacing(kLimit), m_now) == 0;
+               box.cold.waitBeforeSend(kUpstream, box.share.spacing(kLimit), m_now) == 0;
     }
 
     static Seen seenOf(std::vector<Millis> arrivals, Millis time) {
--- a/tests/ColdUpstreamsTest.cpp
+++ b/tests/ColdUpstreamsTest.cpp
@@ -46,12 +46,12 @@
 TEST_CASE("Requests of one box to a cold upstream are a spacing apart") {
     ColdUpstreams cold;
     cold.note(kUpstream, 3000, {0});
-    CHECK(cold.waitFor(kUpstream, 300, {0}) == 0);
-    cold.noteSent(kUpstream, {0});
-    CHECK(cold.waitFor(kUpstream, 300, {100}) == 200);
-    CHECK(cold.waitFor(kUpstream, 300, {300}) == 0);
-    cold.noteSent({"b", 1}, {0});
-    CHECK(cold.waitFor({"b", 1}, 300, {100}) == 0);
+    CHECK(cold.waitBeforeSend(kUpstream, 300, {0}) == 0);
+    cold.recordSend(kUpstream, {0});
+    CHECK(cold.waitBeforeSend(kUpstream, 300, {100}) == 200);
+    CHECK(cold.waitBeforeSend(kUpstream, 300, {300}) == 0);
+    cold.recordSend({"b", 1}, {0});
+    CHECK(cold.waitBeforeSend({"b", 1}, 300, {100}) == 0);
 }
 
 TEST_CASE("The first reason that holds is the one that an upstream is left out for") {
