--- a/include/health/ColdUpstreams.h
+++ b/include/health/ColdUpstreams.h
@@ -2,7 +2,7 @@
 //
 // An upstream that has just started, or was idle for long, bears only a few requests a second of
 // all boxes together, and falls over well above that. Which boxes send to it, and how far apart,
-// is ColdShare's matter; here stands until when it is cold and when this box sent last.
+// is ColdShare's matter; here stands coldUntil when it is cold and when this box lastSent last.
 //
 // Inputs: what the list of upstreams and answers say, for the incarnation that they speak of. Kept
 // also while an upstream is not listed, since entries lapse while the store is away.
@@ -42,12 +42,12 @@
 private:
     struct Record {
         int64_t startedMs = 0;  // Of the incarnation that is cold.
-        MonoTime until;
-        std::optional<MonoTime> sent;  // Last, while it was cold.
+        MonoTime coldUntil;
+        std::optional<MonoTime> lastSent;  // Last, while it was cold.
     };
 
     const Record* find(const Incarnation& upstream) const;
-    void makeRoom();
+    void evictOne();
 
     std::unordered_map<std::string, Record> m_records;  // By id.
 };
--- a/src/health/ColdUpstreams.cpp
+++ b/src/health/ColdUpstreams.cpp
@@ -10,10 +10,10 @@
     return it == m_records.end() || later ? nullptr : &it->second;
 }
 
-void ColdUpstreams::makeRoom() {
+void ColdUpstreams::evictOne() {
     m_records.erase(std::min_element(
         m_records.begin(), m_records.end(),
-        [](const auto& a, const auto& b) { return a.second.until < b.second.until; }));
+        [](const auto& a, const auto& b) { return a.second.coldUntil < b.second.coldUntil; }));
 }
 
 bool ColdUpstreams::note(const Incarnation& upstream, Millis left, MonoTime now) {
@@ -22,40 +22,40 @@
         return false;
     }
     if (!known && m_records.size() >= kMaxUpstreams) {
-        makeRoom();
+        evictOne();
     }
     Record& record = m_records[upstream.id];
     if (upstream.startedMs != 0 && upstream.startedMs < record.startedMs) {
         return false;
     }
-    const bool wasCold = upstream.startedMs <= record.startedMs && record.until > now;
+    const bool wasCold = upstream.startedMs <= record.startedMs && record.coldUntil > now;
     record.startedMs = std::max(record.startedMs, upstream.startedMs);
-    record.until = now + left;
+    record.coldUntil = now + left;
     return !wasCold && left > 0;
 }
 
 std::optional<Millis> ColdUpstreams::coldLeft(const Incarnation& upstream, MonoTime now) const {
     const Record* record = find(upstream);
-    if (record == nullptr || record->until <= now) {
+    if (record == nullptr || record->coldUntil <= now) {
         return std::nullopt;
     }
-    return record->until - now;
+    return record->coldUntil - now;
 }
 
 void ColdUpstreams::recordSend(const Incarnation& upstream, MonoTime now) {
     const auto it = m_records.find(upstream.id);
-    if (it != m_records.end() && it->second.until > now) {
-        it->second.sent = now;
+    if (it != m_records.end() && it->second.coldUntil > now) {
+        it->second.lastSent = now;
     }
 }
 
 Millis ColdUpstreams::waitBeforeSend(const Incarnation& upstream, Millis spacing,
                                      MonoTime now) const {
     const Record* record = find(upstream);
-    if (record == nullptr || !record->sent) {
+    if (record == nullptr || !record->lastSent) {
         return 0;
     }
-    return std::max<Millis>(0, *record->sent + spacing - now);
+    return std::max<Millis>(0, *record->lastSent + spacing - now);
 }
 
 }  // namespace onyx
