--- a/include/health/UpstreamAvoidance.h
+++ b/include/health/UpstreamAvoidance.h
@@ -23,18 +23,18 @@
 
     // The upstream wants no requests until `until`; true if this is news.
     // Preconditions: times do not fall.
-    bool noteBackoff(const Incarnation& upstream, MonoTime until, MonoTime now);
+    bool recordBackoff(const Incarnation& upstream, MonoTime until, MonoTime now);
 
     // The upstream is about to end; true if this is news. Preconditions: as above.
-    bool noteLeaving(const Incarnation& upstream, MonoTime now);
+    bool recordLeaving(const Incarnation& upstream, MonoTime now);
 
     // How long the upstream wants no requests, in milliseconds; nothing if it takes them.
     // Preconditions: as above.
-    std::optional<Millis> backoffLeft(const Incarnation& upstream, MonoTime now) const;
+    std::optional<Millis> remainingBackoff(const Incarnation& upstream, MonoTime now) const;
 
     // Whether the upstream is to get no request. Preconditions: as above.
-    bool avoids(const Incarnation& upstream, MonoTime now) const {
-        return isLeaving(upstream) || backoffLeft(upstream, now).has_value();
+    bool isAvoided(const Incarnation& upstream, MonoTime now) const {
+        return isLeaving(upstream) || remainingBackoff(upstream, now).has_value();
     }
     // Whether it said that it is about to end. Preconditions: none.
     bool isLeaving(const Incarnation& upstream) const;
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -118,13 +118,13 @@
     const MonoTime now = ReadClocks().mono;
     const Incarnation incarnation = m_place.upstream.incarnation();
     if (facts.backoff &&
-        m_context.records.avoidance().noteBackoff(incarnation, now + *facts.backoff, now)) {
+        m_context.records.avoidance().recordBackoff(incarnation, now + *facts.backoff, now)) {
         m_context.log.backsOff(upstream, *facts.backoff);
     }
     if (facts.coldLeft) {
         m_context.records.cold().note(incarnation, *facts.coldLeft, now);
     }
-    if (facts.leaving && m_context.records.avoidance().noteLeaving(incarnation, now)) {
+    if (facts.leaving && m_context.records.avoidance().recordLeaving(incarnation, now)) {
         m_context.records.dropConnections(upstream);
         m_context.log.leaves(upstream);
     }
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -51,7 +51,7 @@
     UpstreamStanding standing;
     standing.draining = upstream.draining;
     standing.leaving = records.avoidance().isLeaving(incarnation);
-    standing.backoff = records.avoidance().backoffLeft(incarnation, now);
+    standing.backoff = records.avoidance().remainingBackoff(incarnation, now);
     standing.outsideHomes = !IsInHomes(upstream, knowledge.settings, question);
     standing.evacuated = knowledge.evacuations.orders().isEvacuated(
         upstream.zone, knowledge.upstreams.age(now), now);
--- a/src/health/UpstreamAvoidance.cpp
+++ b/src/health/UpstreamAvoidance.cpp
@@ -33,7 +33,7 @@
         [](const auto& a, const auto& b) { return a.second.noted < b.second.noted; }));
 }
 
-bool UpstreamAvoidance::noteBackoff(const Incarnation& upstream, MonoTime until, MonoTime now) {
+bool UpstreamAvoidance::recordBackoff(const Incarnation& upstream, MonoTime until, MonoTime now) {
     if (until <= now) {
         return false;
     }
@@ -46,7 +46,7 @@
     return isNew;
 }
 
-bool UpstreamAvoidance::noteLeaving(const Incarnation& upstream, MonoTime now) {
+bool UpstreamAvoidance::recordLeaving(const Incarnation& upstream, MonoTime now) {
     Record* record = recordOf(upstream, now);
     if (record == nullptr || record->leaving) {
         return false;
@@ -60,8 +60,8 @@
     return record != nullptr && record->leaving;
 }
 
-std::optional<Millis> UpstreamAvoidance::backoffLeft(const Incarnation& upstream,
-                                                     MonoTime now) const {
+std::optional<Millis> UpstreamAvoidance::remainingBackoff(const Incarnation& upstream,
+                                                          MonoTime now) const {
     const Record* record = find(upstream);
     if (record == nullptr || record->backoffUntil <= now) {
         return std::nullopt;
--- a/tests/UpstreamAvoidanceTest.cpp
+++ b/tests/UpstreamAvoidanceTest.cpp
@@ -13,49 +13,49 @@
 
 TEST_CASE("An upstream gets no request until the time that it asked for is over") {
     UpstreamAvoidance avoidance;
-    CHECK_FALSE(avoidance.avoids(kUpstream, {0}));
-    CHECK(avoidance.noteBackoff(kUpstream, {3000}, {0}));
-    CHECK(avoidance.avoids(kUpstream, {2999}));
-    CHECK(avoidance.backoffLeft(kUpstream, {1000}) == 2000);
-    CHECK_FALSE(avoidance.avoids(kUpstream, {3000}));
-    CHECK_FALSE(avoidance.avoids({"b", 1000}, {1}));
+    CHECK_FALSE(avoidance.isAvoided(kUpstream, {0}));
+    CHECK(avoidance.recordBackoff(kUpstream, {3000}, {0}));
+    CHECK(avoidance.isAvoided(kUpstream, {2999}));
+    CHECK(avoidance.remainingBackoff(kUpstream, {1000}) == 2000);
+    CHECK_FALSE(avoidance.isAvoided(kUpstream, {3000}));
+    CHECK_FALSE(avoidance.isAvoided({"b", 1000}, {1}));
 }
 
 // Guards against a later answer that cuts short what an earlier one asked for.
 TEST_CASE("Of several wishes the longest holds") {
     UpstreamAvoidance avoidance;
-    CHECK(avoidance.noteBackoff(kUpstream, {3000}, {0}));
-    CHECK_FALSE(avoidance.noteBackoff(kUpstream, {1500}, {500}));
-    CHECK(avoidance.avoids(kUpstream, {2999}));
-    CHECK_FALSE(avoidance.noteBackoff(kUpstream, {4000}, {600}));
-    CHECK(avoidance.avoids(kUpstream, {3999}));
-    CHECK_FALSE(avoidance.noteBackoff(kUpstream, {5000}, {5000}));
+    CHECK(avoidance.recordBackoff(kUpstream, {3000}, {0}));
+    CHECK_FALSE(avoidance.recordBackoff(kUpstream, {1500}, {500}));
+    CHECK(avoidance.isAvoided(kUpstream, {2999}));
+    CHECK_FALSE(avoidance.recordBackoff(kUpstream, {4000}, {600}));
+    CHECK(avoidance.isAvoided(kUpstream, {3999}));
+    CHECK_FALSE(avoidance.recordBackoff(kUpstream, {5000}, {5000}));
 }
 
 TEST_CASE("Another start of an upstream wants what it says itself") {
     UpstreamAvoidance avoidance;
-    avoidance.noteBackoff(kUpstream, {9000}, {0});
-    CHECK_FALSE(avoidance.avoids(kRestarted, {1}));
-    CHECK(avoidance.avoids({"a", 0}, {1}));
-    CHECK(avoidance.noteBackoff(kRestarted, {5000}, {100}));
-    CHECK_FALSE(avoidance.avoids(kRestarted, {5000}));
+    avoidance.recordBackoff(kUpstream, {9000}, {0});
+    CHECK_FALSE(avoidance.isAvoided(kRestarted, {1}));
+    CHECK(avoidance.isAvoided({"a", 0}, {1}));
+    CHECK(avoidance.recordBackoff(kRestarted, {5000}, {100}));
+    CHECK_FALSE(avoidance.isAvoided(kRestarted, {5000}));
     // An answer of the start before, told late.
-    CHECK_FALSE(avoidance.noteBackoff(kUpstream, {6000}, {5100}));
-    CHECK_FALSE(avoidance.avoids(kRestarted, {5100}));
+    CHECK_FALSE(avoidance.recordBackoff(kUpstream, {6000}, {5100}));
+    CHECK_FALSE(avoidance.isAvoided(kRestarted, {5100}));
 }
 
 TEST_CASE("An upstream that leaves gets no request for good, another start of it does") {
     UpstreamAvoidance avoidance;
-    CHECK(avoidance.noteLeaving(kUpstream, {0}));
-    CHECK_FALSE(avoidance.noteLeaving(kUpstream, {10}));
+    CHECK(avoidance.recordLeaving(kUpstream, {0}));
+    CHECK_FALSE(avoidance.recordLeaving(kUpstream, {10}));
     constexpr Millis kDay = Millis{86400} * 1000;
-    CHECK(avoidance.avoids(kUpstream, {kDay}));
+    CHECK(avoidance.isAvoided(kUpstream, {kDay}));
     CHECK(avoidance.isLeaving(kUpstream));
-    CHECK_FALSE(avoidance.backoffLeft(kUpstream, {0}));
-    CHECK_FALSE(avoidance.avoids(kRestarted, {0}));
+    CHECK_FALSE(avoidance.remainingBackoff(kUpstream, {0}));
+    CHECK_FALSE(avoidance.isAvoided(kRestarted, {0}));
     // An answer of the start before, told late.
-    CHECK(avoidance.noteBackoff(kRestarted, {500}, {20}));
-    CHECK_FALSE(avoidance.noteLeaving(kUpstream, {30}));
+    CHECK(avoidance.recordBackoff(kRestarted, {500}, {20}));
+    CHECK_FALSE(avoidance.recordLeaving(kUpstream, {30}));
     CHECK_FALSE(avoidance.isLeaving(kRestarted));
 }
 
@@ -63,8 +63,9 @@
     UpstreamAvoidance avoidance;
     for (size_t i = 0; i < 2 * UpstreamAvoidance::kMaxUpstreams; ++i) {
         const auto now = static_cast<Millis>(i);
-        avoidance.noteBackoff({std::to_string(i), 1}, {1000000}, {now});
+        avoidance.recordBackoff({std::to_string(i), 1}, {1000000}, {now});
     }
-    CHECK_FALSE(avoidance.avoids({"0", 1}, {10000}));
-    CHECK(avoidance.avoids({std::to_string(2 * UpstreamAvoidance::kMaxUpstreams - 1), 1}, {10000}));
+    CHECK_FALSE(avoidance.isAvoided({"0", 1}, {10000}));
+    CHECK(avoidance.isAvoided({std::to_string(2 * UpstreamAvoidance::kMaxUpstreams - 1), 1},
+                              {10000}));
 }
