--- a/include/health/UpstreamAvoidance.h
+++ b/include/health/UpstreamAvoidance.h
@@ -44,12 +44,12 @@
         int64_t startedMs = 0;  // Of the incarnation that asked.
         MonoTime backoffUntil;
         bool leaving = false;
-        MonoTime noted;
+        MonoTime updatedAt;
     };
 
     const Record* find(const Incarnation& upstream) const;
-    Record* recordOf(const Incarnation& upstream, MonoTime now);
-    void makeRoom();
+    Record* findOrCreate(const Incarnation& upstream, MonoTime now);
+    void evictOne();
 
     std::unordered_map<std::string, Record> m_records;  // By id.
 };
--- a/src/health/UpstreamAvoidance.cpp
+++ b/src/health/UpstreamAvoidance.cpp
@@ -12,9 +12,10 @@
 }
 
 // The record of what this start asks for; nothing if a later one has asked since.
-UpstreamAvoidance::Record* UpstreamAvoidance::recordOf(const Incarnation& upstream, MonoTime now) {
+UpstreamAvoidance::Record* UpstreamAvoidance::findOrCreate(const Incarnation& upstream,
+                                                           MonoTime now) {
     if (!m_records.contains(upstream.id) && m_records.size() >= kMaxUpstreams) {
-        makeRoom();
+        evictOne();
     }
     Record& record = m_records[upstream.id];
     if (upstream.startedMs != 0 && upstream.startedMs < record.startedMs) {
@@ -23,21 +24,21 @@
     if (upstream.startedMs > record.startedMs) {
         record = {upstream.startedMs, {}, false, now};
     }
-    record.noted = now;
+    record.updatedAt = now;
     return &record;
 }
 
-void UpstreamAvoidance::makeRoom() {
+void UpstreamAvoidance::evictOne() {
     m_records.erase(std::min_element(
         m_records.begin(), m_records.end(),
-        [](const auto& a, const auto& b) { return a.second.noted < b.second.noted; }));
+        [](const auto& a, const auto& b) { return a.second.updatedAt < b.second.updatedAt; }));
 }
 
 bool UpstreamAvoidance::recordBackoff(const Incarnation& upstream, MonoTime until, MonoTime now) {
     if (until <= now) {
         return false;
     }
-    Record* record = recordOf(upstream, now);
+    Record* record = findOrCreate(upstream, now);
     if (record == nullptr) {
         return false;
     }
@@ -47,7 +48,7 @@
 }
 
 bool UpstreamAvoidance::recordLeaving(const Incarnation& upstream, MonoTime now) {
-    Record* record = recordOf(upstream, now);
+    Record* record = findOrCreate(upstream, now);
     if (record == nullptr || record->leaving) {
         return false;
     }
