--- a/include/health/ZoneEvacuations.h
+++ b/include/health/ZoneEvacuations.h
@@ -2,7 +2,7 @@
 //
 // An order stands until it is taken back. A zone that is taken back may hold upstreams that are
 // cold, and the list of upstreams that says so may come a little later than the end of the order:
-// the zone stays left out until this box has a list from after that, or for kMaxReturn.
+// the zone stays left out until this box has a list from after that, or for kMaxReturnDelayMs.
 //
 // Inputs: the orders as the store or other boxes have them, with the store's revision; the age of
 // the list of upstreams; times in milliseconds.
@@ -33,7 +33,7 @@
 public:
     // A zone that is taken back is left out no longer than this, in milliseconds: the store may not
     // answer, and its upstreams warm up meanwhile.
-    static constexpr Millis kMaxReturn = 3000;
+    static constexpr Millis kMaxReturnDelayMs = 3000;
 
     // Takes in all orders that stand, or changes of them; the zones whose order began or ended.
     // `takesBack`: a lower revision than before counts too, since the store was restored; else it
--- a/src/health/ZoneEvacuations.cpp
+++ b/src/health/ZoneEvacuations.cpp
@@ -40,7 +40,7 @@
         return true;
     }
     const auto it = m_ended.find(zone.value);
-    if (it == m_ended.end() || now - it->second >= kMaxReturn) {
+    if (it == m_ended.end() || now - it->second >= kMaxReturnDelayMs) {
         return false;
     }
     return !listAge || now - *listAge < it->second;
--- a/tests/ZoneEvacuationsTest.cpp
+++ b/tests/ZoneEvacuationsTest.cpp
@@ -36,7 +36,7 @@
     CHECK(orders.isEvacuated(kZone, 700, {10500}));
     CHECK_FALSE(orders.isEvacuated(kZone, 400, {10500}));
     CHECK(orders.isEvacuated(kZone, std::nullopt, {10500}));
-    CHECK_FALSE(orders.isEvacuated(kZone, 60000, {10000 + ZoneEvacuations::kMaxReturn}));
+    CHECK_FALSE(orders.isEvacuated(kZone, 60000, {10000 + ZoneEvacuations::kMaxReturnDelayMs}));
 }
 
 TEST_CASE("Who knows less changes nothing, but a store that was restored does") {
