--- a/src/health/ZoneEvacuations.cpp
+++ b/src/health/ZoneEvacuations.cpp
@@ -2,11 +2,11 @@
 
 namespace onyx {
 
-EvacuationChanges ZoneEvacuations::take(const EvacuationChanges& changes, bool takesBack,
+EvacuationChanges ZoneEvacuations::take(const EvacuationChanges& changes, bool acceptLowerRevision,
                                         MonoTime now) {
     EvacuationChanges news;
     news.revision = changes.revision;
-    if (changes.revision < m_revision && !takesBack) {
+    if (changes.revision < m_revision && !acceptLowerRevision) {
         return news;
     }
     m_revision = changes.revision;
