--- a/include/admission/RetryAllowance.h
+++ b/include/admission/LocalRetryBudget.h
@@ -16,7 +16,7 @@
 namespace onyx {
 
 // This box's part of the budget.
-struct RetryAllowanceSettings {
+struct LocalRetryBudgetSettings {
     // The part of the budget that is planned with. The rest is for requests whose first attempt
     // leaves the window before their retry does, and for boxes that are not known yet.
     static constexpr double kPlannedPart = 0.75;
@@ -29,20 +29,20 @@
     double slack = 0;    // Attempts, of all boxes together.
     size_t minBoxes = kDefaultMinBoxes;
 
-    // Settings that plan with a part of the operators' budget. Preconditions: as RetryAllowance.
+    // Settings that plan with a part of the operators' budget. Preconditions: as LocalRetryBudget.
     // Thread safety: any thread.
-    static RetryAllowanceSettings Planned(Millis window, double share, double slack,
-                                          size_t minBoxes) {
+    static LocalRetryBudgetSettings Planned(Millis window, double share, double slack,
+                                            size_t minBoxes) {
         return {window, kPlannedPart * share, kPlannedPart * slack, minBoxes};
     }
 };
 
 // One service's attempts on this box. A new life of a box starts with no slack, since the life
 // before may have spent it. Not thread safe: one task owns it.
-class RetryAllowance {
+class LocalRetryBudget {
 public:
     // Preconditions: window > 0, share >= 0, slack >= 0. `start`: when this life began.
-    RetryAllowance(const RetryAllowanceSettings& settings, MonoTime start)
+    LocalRetryBudget(const LocalRetryBudgetSettings& settings, MonoTime start)
         : m_settings(settings), m_start(start) {}
 
     // Counts a request's first attempt. Preconditions: times do not fall.
@@ -58,17 +58,17 @@
 private:
     void forget(MonoTime now);
 
-    RetryAllowanceSettings m_settings;
+    LocalRetryBudgetSettings m_settings;
     MonoTime m_start;
     std::deque<MonoTime> m_firsts;
     std::deque<MonoTime> m_retries;
 };
 
 // The allowances of all services. Not thread safe: one task owns it.
-class RetryAllowances {
+class LocalRetryBudgets {
 public:
-    // Preconditions: as RetryAllowance.
-    RetryAllowances(const RetryAllowanceSettings& settings, MonoTime start)
+    // Preconditions: as LocalRetryBudget.
+    LocalRetryBudgets(const LocalRetryBudgetSettings& settings, MonoTime start)
         : m_settings(settings), m_start(start) {}
 
     // Counts a request's first attempt at `service`. Preconditions: times do not fall.
@@ -79,11 +79,11 @@
     bool takeRetry(const ServiceId& service, size_t boxesKnown, MonoTime now);
 
 private:
-    RetryAllowance& of(const ServiceId& service);
+    LocalRetryBudget& of(const ServiceId& service);
 
-    RetryAllowanceSettings m_settings;
+    LocalRetryBudgetSettings m_settings;
     MonoTime m_start;
-    std::map<ServiceId, RetryAllowance> m_allowances;
+    std::map<ServiceId, LocalRetryBudget> m_allowances;
 };
 
 }  // namespace onyx
--- a/include/gateway/Gateway.h
+++ b/include/gateway/Gateway.h
@@ -6,7 +6,7 @@
 //   UpstreamRecords     their health, loads and caches, kept connections
 //   QuarantineController  which requests crash upstreams
 //   Lifecycle           how far this box's life has come, requests under way
-//   RetryAllowances     this box's part of the retry budget
+//   LocalRetryBudgets     this box's part of the retry budget
 //   StoreController     the watches of the store and whether it answers
 //   PeerMesh            the links to other boxes
 //   PeerSync            whom this box follows and what it asks other boxes
@@ -72,7 +72,7 @@
     UpstreamList m_upstreams;
     EvacuationList m_evacuations;
     Lifecycle m_lifecycle;
-    RetryAllowances m_retries;
+    LocalRetryBudgets m_retries;
     RequestLog m_log;
     StoreController m_store;
     PeerMesh m_mesh;
--- a/include/gateway/GatewaySettings.h
+++ b/include/gateway/GatewaySettings.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "include/admission/Admission.h"
-#include "include/admission/RetryAllowance.h"
+#include "include/admission/LocalRetryBudget.h"
 #include "include/config/Settings.h"
 #include "include/freshness/StoreDuty.h"
 #include "include/freshness/StorePacing.h"
@@ -47,7 +47,7 @@
     Millis onceConnection = 2000;   // and carries no unrepeatable request after this, since it may
                                     // have ended without a word.
     ColdLimit cold;  // Of upstreams that are cold; what one bears stands in the configuration.
-    RetryAllowanceSettings retry;
+    LocalRetryBudgetSettings retry;
     HealthSettings health;
     PlacementPolicy modelPlacement = AffinityPolicy{};
     PlacementPolicy plainPlacement = ZoneFirstPolicy{};
--- a/include/gateway/RequestContext.h
+++ b/include/gateway/RequestContext.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "include/admission/Admission.h"
-#include "include/admission/RetryAllowance.h"
+#include "include/admission/LocalRetryBudget.h"
 #include "include/dialect/Dialect.h"
 #include "include/gateway/ConfigurationState.h"
 #include "include/gateway/GatewaySettings.h"
@@ -28,7 +28,7 @@
     const UpstreamList& upstreams;
     const EvacuationList& evacuations;
     UpstreamRecords& records;
-    RetryAllowances& retries;
+    LocalRetryBudgets& retries;
     Lifecycle& lifecycle;
     const PeerMesh& mesh;
     RequestLog& log;
--- a/src/admission/RetryAllowance.cpp
+++ b/src/admission/LocalRetryBudget.cpp
@@ -1,10 +1,10 @@
-#include "include/admission/RetryAllowance.h"
+#include "include/admission/LocalRetryBudget.h"
 
 #include <algorithm>
 
 namespace onyx {
 
-bool RetryAllowance::takeRetry(MonoTime now, size_t boxes) {
+bool LocalRetryBudget::takeRetry(MonoTime now, size_t boxes) {
     forget(now);
     const double earned = m_settings.share * static_cast<double>(m_firsts.size());
     const bool hasSlack = now - m_start >= m_settings.window;
@@ -17,12 +17,12 @@
     return true;
 }
 
-size_t RetryAllowance::retries(MonoTime now) {
+size_t LocalRetryBudget::retries(MonoTime now) {
     forget(now);
     return m_retries.size();
 }
 
-void RetryAllowance::forget(MonoTime now) {
+void LocalRetryBudget::forget(MonoTime now) {
     const MonoTime oldest = now - m_settings.window;
     while (!m_firsts.empty() && m_firsts.front() < oldest) {
         m_firsts.pop_front();
@@ -32,11 +32,11 @@
     }
 }
 
-bool RetryAllowances::takeRetry(const ServiceId& service, size_t boxesKnown, MonoTime now) {
+bool LocalRetryBudgets::takeRetry(const ServiceId& service, size_t boxesKnown, MonoTime now) {
     return of(service).takeRetry(now, std::max(m_settings.minBoxes, boxesKnown));
 }
 
-RetryAllowance& RetryAllowances::of(const ServiceId& service) {
+LocalRetryBudget& LocalRetryBudgets::of(const ServiceId& service) {
     return m_allowances.try_emplace(service, m_settings, m_start).first->second;
 }
 
--- a/src/gateway/GatewaySettings.cpp
+++ b/src/gateway/GatewaySettings.cpp
@@ -78,13 +78,13 @@
     }
 }
 
-RetryAllowanceSettings ReadRetry(SettingsReader& reader) {
-    const RetryAllowanceSettings defaults;
+LocalRetryBudgetSettings ReadRetry(SettingsReader& reader) {
+    const LocalRetryBudgetSettings defaults;
     const Millis window = reader.number("retry.window_ms", defaults.window, 100, kDay);
     const double share = reader.real("retry.share", defaults.share, 0.0, 1.0);
     const double slack = reader.real("retry.slack", defaults.slack, 0.0, 1e9);
     const size_t minBoxes = ReadCount(reader, "retry.boxes", defaults.minBoxes, 1);
-    return RetryAllowanceSettings::Planned(window, share, slack, minBoxes);
+    return LocalRetryBudgetSettings::Planned(window, share, slack, minBoxes);
 }
 
 ColdLimit ReadCold(SettingsReader& reader) {
--- a/tests/RetryAllowanceTest.cpp
+++ b/tests/LocalRetryBudgetTest.cpp
@@ -1,11 +1,11 @@
-#include "include/admission/RetryAllowance.h"
+#include "include/admission/LocalRetryBudget.h"
 
 #include <catch2/catch.hpp>
 
 using namespace onyx;
 
 TEST_CASE("Retries stay within the share of first attempts in every window") {
-    RetryAllowance allowance({10000, 0.2, 0}, {0});
+    LocalRetryBudget allowance({10000, 0.2, 0}, {0});
     int taken = 0;
     for (int i = 0; i < 100; ++i) {
         const MonoTime now{20000 + i * 10};
@@ -20,7 +20,7 @@
 }
 
 TEST_CASE("A new life has no slack until a window has passed") {
-    RetryAllowance allowance({10000, 0.2, 3}, {5000});
+    LocalRetryBudget allowance({10000, 0.2, 3}, {5000});
     CHECK_FALSE(allowance.takeRetry({5000}, 1));
     CHECK_FALSE(allowance.takeRetry({14999}, 1));
     CHECK(allowance.takeRetry({15000}, 1));
@@ -33,7 +33,7 @@
     for (const size_t boxes : {size_t{1}, size_t{4}, size_t{85}}) {
         size_t taken = 0;
         for (size_t box = 0; box < boxes; ++box) {
-            RetryAllowance allowance({10000, 0.2, 40}, {0});
+            LocalRetryBudget allowance({10000, 0.2, 40}, {0});
             while (allowance.takeRetry({10000}, boxes)) {
                 ++taken;
             }
@@ -44,8 +44,8 @@
 }
 
 TEST_CASE("The slack is shared by a least number of boxes, and each service has its own budget") {
-    const RetryAllowanceSettings settings{10000, 0, 16, 8};
-    RetryAllowances allowances(settings, {0});
+    const LocalRetryBudgetSettings settings{10000, 0, 16, 8};
+    LocalRetryBudgets allowances(settings, {0});
     const auto taken = [&](const char* service, size_t boxesKnown) {
         int count = 0;
         while (allowances.takeRetry(ServiceId(service), boxesKnown, {10000})) {
