--- a/include/admission/LocalRetryBudget.h
+++ b/include/admission/LocalRetryBudget.h
@@ -31,8 +31,8 @@
 
     // Settings that plan with a part of the operators' budget. Preconditions: as LocalRetryBudget.
     // Thread safety: any thread.
-    static LocalRetryBudgetSettings Planned(Millis window, double share, double slack,
-                                            size_t minBoxes) {
+    static LocalRetryBudgetSettings FromOperatorBudget(Millis window, double share, double slack,
+                                                       size_t minBoxes) {
         return {window, kPlannedPart * share, kPlannedPart * slack, minBoxes};
     }
 };
@@ -46,11 +46,11 @@
         : m_settings(settings), m_start(start) {}
 
     // Counts a request's first attempt. Preconditions: times do not fall.
-    void countFirst(MonoTime now) { m_firsts.push_back(now); }
+    void recordFirstAttempt(MonoTime now) { m_firsts.push_back(now); }
 
     // Takes one retry out of the allowance; false if there is none. `boxes`: how many share the
     // slack, this one included. Preconditions: as above; boxes > 0.
-    bool takeRetry(MonoTime now, size_t boxes);
+    bool tryAcquireRetry(MonoTime now, size_t boxes);
 
     // Retries within the window. Preconditions: as above.
     size_t retries(MonoTime now);
@@ -72,11 +72,13 @@
         : m_settings(settings), m_start(start) {}
 
     // Counts a request's first attempt at `service`. Preconditions: times do not fall.
-    void countFirst(const ServiceId& service, MonoTime now) { of(service).countFirst(now); }
+    void recordFirstAttempt(const ServiceId& service, MonoTime now) {
+        of(service).recordFirstAttempt(now);
+    }
 
     // Takes one retry of a request for `service`; false if there is none. `boxesKnown`: boxes of
     // the site that this one has heard of, itself included. Preconditions: as above.
-    bool takeRetry(const ServiceId& service, size_t boxesKnown, MonoTime now);
+    bool tryAcquireRetry(const ServiceId& service, size_t boxesKnown, MonoTime now);
 
 private:
     LocalRetryBudget& of(const ServiceId& service);
--- a/src/admission/LocalRetryBudget.cpp
+++ b/src/admission/LocalRetryBudget.cpp
@@ -4,7 +4,7 @@
 
 namespace onyx {
 
-bool LocalRetryBudget::takeRetry(MonoTime now, size_t boxes) {
+bool LocalRetryBudget::tryAcquireRetry(MonoTime now, size_t boxes) {
     forget(now);
     const double earned = m_settings.share * static_cast<double>(m_firsts.size());
     const bool hasSlack = now - m_start >= m_settings.window;
@@ -32,8 +32,8 @@
     }
 }
 
-bool LocalRetryBudgets::takeRetry(const ServiceId& service, size_t boxesKnown, MonoTime now) {
-    return of(service).takeRetry(now, std::max(m_settings.minBoxes, boxesKnown));
+bool LocalRetryBudgets::tryAcquireRetry(const ServiceId& service, size_t boxesKnown, MonoTime now) {
+    return of(service).tryAcquireRetry(now, std::max(m_settings.minBoxes, boxesKnown));
 }
 
 LocalRetryBudget& LocalRetryBudgets::of(const ServiceId& service) {
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -48,7 +48,7 @@
     m_sent = true;
     const Admission& admission = m_request.admission;
     if (m_request.first) {
-        m_context.retries.countFirst(admission.service, m_start);
+        m_context.retries.recordFirstAttempt(admission.service, m_start);
     }
     m_context.log.sent(admission.service);
     std::string text = requestText();
--- a/src/gateway/GatewaySettings.cpp
+++ b/src/gateway/GatewaySettings.cpp
@@ -84,7 +84,7 @@
     const double share = reader.real("retry.share", defaults.share, 0.0, 1.0);
     const double slack = reader.real("retry.slack", defaults.slack, 0.0, 1e9);
     const size_t minBoxes = ReadCount(reader, "retry.boxes", defaults.minBoxes, 1);
-    return LocalRetryBudgetSettings::Planned(window, share, slack, minBoxes);
+    return LocalRetryBudgetSettings::FromOperatorBudget(window, share, slack, minBoxes);
 }
 
 ColdLimit ReadCold(SettingsReader& reader) {
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -170,7 +170,8 @@
     const MonoTime now = ReadClocks().mono;
     const bool timeLeft = HasTimeForAttempt(m_admission.deadline, now) && !m_caller.gone();
     return m_attempts.ended(end, {timeLeft, m_relay->headSent()}, [&] {
-        return m_context.retries.takeRetry(m_admission.service, m_context.mesh.boxesKnown(), now);
+        return m_context.retries.tryAcquireRetry(m_admission.service, m_context.mesh.boxesKnown(),
+                                                 now);
     });
 }
 
--- a/tests/LocalRetryBudgetTest.cpp
+++ b/tests/LocalRetryBudgetTest.cpp
@@ -9,24 +9,24 @@
     int taken = 0;
     for (int i = 0; i < 100; ++i) {
         const MonoTime now{20000 + i * 10};
-        allowance.countFirst(now);
-        taken += allowance.takeRetry(now, 1) ? 1 : 0;
+        allowance.recordFirstAttempt(now);
+        taken += allowance.tryAcquireRetry(now, 1) ? 1 : 0;
     }
     CHECK(taken == 20);
     CHECK(allowance.retries({20990}) == 20);
     // The window moved on: first attempts and retries are forgotten alike.
-    CHECK_FALSE(allowance.takeRetry({40000}, 1));
+    CHECK_FALSE(allowance.tryAcquireRetry({40000}, 1));
     CHECK(allowance.retries({40000}) == 0);
 }
 
 TEST_CASE("A new life has no slack until a window has passed") {
     LocalRetryBudget allowance({10000, 0.2, 3}, {5000});
-    CHECK_FALSE(allowance.takeRetry({5000}, 1));
-    CHECK_FALSE(allowance.takeRetry({14999}, 1));
-    CHECK(allowance.takeRetry({15000}, 1));
-    CHECK(allowance.takeRetry({15000}, 1));
-    CHECK(allowance.takeRetry({15000}, 1));
-    CHECK_FALSE(allowance.takeRetry({15000}, 1));
+    CHECK_FALSE(allowance.tryAcquireRetry({5000}, 1));
+    CHECK_FALSE(allowance.tryAcquireRetry({14999}, 1));
+    CHECK(allowance.tryAcquireRetry({15000}, 1));
+    CHECK(allowance.tryAcquireRetry({15000}, 1));
+    CHECK(allowance.tryAcquireRetry({15000}, 1));
+    CHECK_FALSE(allowance.tryAcquireRetry({15000}, 1));
 }
 
 TEST_CASE("The slack of a site is shared by its boxes") {
@@ -34,7 +34,7 @@
         size_t taken = 0;
         for (size_t box = 0; box < boxes; ++box) {
             LocalRetryBudget allowance({10000, 0.2, 40}, {0});
-            while (allowance.takeRetry({10000}, boxes)) {
+            while (allowance.tryAcquireRetry({10000}, boxes)) {
                 ++taken;
             }
         }
@@ -48,13 +48,13 @@
     LocalRetryBudgets allowances(settings, {0});
     const auto taken = [&](const char* service, size_t boxesKnown) {
         int count = 0;
-        while (allowances.takeRetry(ServiceId(service), boxesKnown, {10000})) {
+        while (allowances.tryAcquireRetry(ServiceId(service), boxesKnown, {10000})) {
             ++count;
         }
         return count;
     };
     CHECK(taken("few", 1) == 2);
     CHECK(taken("many", 16) == 1);
-    allowances.countFirst(ServiceId("many"), {10000});
+    allowances.recordFirstAttempt(ServiceId("many"), {10000});
     CHECK(taken("many", 16) == 0);
 }
