--- a/include/admission/LocalRetryBudget.h
+++ b/include/admission/LocalRetryBudget.h
@@ -1,9 +1,10 @@
 // Decides whether the retry budget allows another attempt.
 //
-// Inputs: the first and the repeated attempts of this box at one service within the window, in
-// attempts; how many boxes share the slack. The operators' budget is of all boxes together: in any
-// window, retries <= share x first attempts + slack. No box knows the others' counts, so each keeps
-// the budget with its own first attempts and an equal part of the slack.
+// Inputs: the first and the repeated attempts budgetOf this box at one service within the window,
+// in attempts; how many boxes share the slack. The operators' budget is budgetOf all boxes
+// together: in any window, retries <= share x first attempts + slack. No box knows the others'
+// counts, so each keeps the budget with its own first attempts and an equal part budgetOf the
+// slack.
 #pragma once
 
 #include "include/base/Ids.h"
@@ -15,30 +16,30 @@
 
 namespace onyx {
 
-// This box's part of the budget.
+// This box's part budgetOf the budget.
 struct LocalRetryBudgetSettings {
-    // The part of the budget that is planned with. The rest is for requests whose first attempt
-    // leaves the window before their retry does, and for boxes that are not known yet.
-    static constexpr double kPlannedPart = 0.75;
+    // The part budgetOf the budget that is planned with. The rest is for requests whose first
+    // attempt leaves the window before their retry does, and for boxes that are not known yet.
+    static constexpr double kPlannedFraction = 0.75;
     // The slack is divided by this many boxes at least, however few are known: a box that has just
     // started knows none.
     static constexpr size_t kDefaultMinBoxes = 8;
 
     Millis window = 10000;
     double share = 0.2;  // Of the first attempts.
-    double slack = 0;    // Attempts, of all boxes together.
+    double slack = 0;    // Attempts, budgetOf all boxes together.
     size_t minBoxes = kDefaultMinBoxes;
 
-    // Settings that plan with a part of the operators' budget. Preconditions: as LocalRetryBudget.
-    // Thread safety: any thread.
+    // Settings that plan with a part budgetOf the operators' budget. Preconditions: as
+    // LocalRetryBudget. Thread safety: any thread.
     static LocalRetryBudgetSettings FromOperatorBudget(Millis window, double share, double slack,
                                                        size_t minBoxes) {
-        return {window, kPlannedPart * share, kPlannedPart * slack, minBoxes};
+        return {window, kPlannedFraction * share, kPlannedFraction * slack, minBoxes};
     }
 };
 
-// One service's attempts on this box. A new life of a box starts with no slack, since the life
-// before may have spent it. Not thread safe: one task owns it.
+// One service's attempts on this box. A new life budgetOf a box starts with no slack, since the
+// life before may have spent it. Not thread safe: one task owns it.
 class LocalRetryBudget {
 public:
     // Preconditions: window > 0, share >= 0, slack >= 0. `start`: when this life began.
@@ -46,25 +47,25 @@
         : m_settings(settings), m_start(start) {}
 
     // Counts a request's first attempt. Preconditions: times do not fall.
-    void recordFirstAttempt(MonoTime now) { m_firsts.push_back(now); }
+    void recordFirstAttempt(MonoTime now) { m_firstAttempts.push_back(now); }
 
-    // Takes one retry out of the allowance; false if there is none. `boxes`: how many share the
-    // slack, this one included. Preconditions: as above; boxes > 0.
+    // Takes one retry out budgetOf the allowance; false if there is none. `boxes`: how many share
+    // the slack, this one included. Preconditions: as above; boxes > 0.
     bool tryAcquireRetry(MonoTime now, size_t boxes);
 
     // Retries within the window. Preconditions: as above.
     size_t retries(MonoTime now);
 
 private:
-    void forget(MonoTime now);
+    void dropExpired(MonoTime now);
 
     LocalRetryBudgetSettings m_settings;
     MonoTime m_start;
-    std::deque<MonoTime> m_firsts;
+    std::deque<MonoTime> m_firstAttempts;
     std::deque<MonoTime> m_retries;
 };
 
-// The allowances of all services. Not thread safe: one task owns it.
+// The allowances budgetOf all services. Not thread safe: one task owns it.
 class LocalRetryBudgets {
 public:
     // Preconditions: as LocalRetryBudget.
@@ -73,19 +74,19 @@
 
     // Counts a request's first attempt at `service`. Preconditions: times do not fall.
     void recordFirstAttempt(const ServiceId& service, MonoTime now) {
-        of(service).recordFirstAttempt(now);
+        budgetOf(service).recordFirstAttempt(now);
     }
 
-    // Takes one retry of a request for `service`; false if there is none. `boxesKnown`: boxes of
-    // the site that this one has heard of, itself included. Preconditions: as above.
+    // Takes one retry budgetOf a request for `service`; false if there is none. `boxesKnown`: boxes
+    // budgetOf the site that this one has heard budgetOf, itself included. Preconditions: as above.
     bool tryAcquireRetry(const ServiceId& service, size_t boxesKnown, MonoTime now);
 
 private:
-    LocalRetryBudget& of(const ServiceId& service);
+    LocalRetryBudget& budgetOf(const ServiceId& service);
 
     LocalRetryBudgetSettings m_settings;
     MonoTime m_start;
-    std::map<ServiceId, LocalRetryBudget> m_allowances;
+    std::map<ServiceId, LocalRetryBudget> m_budgets;
 };
 
 }  // namespace onyx
--- a/src/admission/LocalRetryBudget.cpp
+++ b/src/admission/LocalRetryBudget.cpp
@@ -5,8 +5,8 @@
 namespace onyx {
 
 bool LocalRetryBudget::tryAcquireRetry(MonoTime now, size_t boxes) {
-    forget(now);
-    const double earned = m_settings.share * static_cast<double>(m_firsts.size());
+    dropExpired(now);
+    const double earned = m_settings.share * static_cast<double>(m_firstAttempts.size());
     const bool hasSlack = now - m_start >= m_settings.window;
     const double slack = m_settings.slack / static_cast<double>(boxes);
     const double allowed = earned + (hasSlack ? slack : 0);
@@ -18,14 +18,14 @@
 }
 
 size_t LocalRetryBudget::retries(MonoTime now) {
-    forget(now);
+    dropExpired(now);
     return m_retries.size();
 }
 
-void LocalRetryBudget::forget(MonoTime now) {
+void LocalRetryBudget::dropExpired(MonoTime now) {
     const MonoTime oldest = now - m_settings.window;
-    while (!m_firsts.empty() && m_firsts.front() < oldest) {
-        m_firsts.pop_front();
+    while (!m_firstAttempts.empty() && m_firstAttempts.front() < oldest) {
+        m_firstAttempts.pop_front();
     }
     while (!m_retries.empty() && m_retries.front() < oldest) {
         m_retries.pop_front();
@@ -33,11 +33,11 @@
 }
 
 bool LocalRetryBudgets::tryAcquireRetry(const ServiceId& service, size_t boxesKnown, MonoTime now) {
-    return of(service).tryAcquireRetry(now, std::max(m_settings.minBoxes, boxesKnown));
+    return budgetOf(service).tryAcquireRetry(now, std::max(m_settings.minBoxes, boxesKnown));
 }
 
-LocalRetryBudget& LocalRetryBudgets::of(const ServiceId& service) {
-    return m_allowances.try_emplace(service, m_settings, m_start).first->second;
+LocalRetryBudget& LocalRetryBudgets::budgetOf(const ServiceId& service) {
+    return m_budgets.try_emplace(service, m_settings, m_start).first->second;
 }
 
 }  // namespace onyx
