--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -28,7 +28,7 @@
 };
 
 // What a box knows, as far as admission depends on it.
-struct AdmissionKnowledge {
+struct AdmissionState {
     bool refusing = false;                   // This box is about to end.
     std::shared_ptr<const Catalog> catalog;  // Null until one is known.
     std::optional<Millis> catalogAge;
@@ -60,8 +60,7 @@
 };
 
 // Admits or refuses a request. Preconditions: none. Thread safety: any thread.
-std::variant<Admission, Refusal> Admit(const AdmissionRules& rules,
-                                       const AdmissionKnowledge& knowledge,
+std::variant<Admission, Refusal> Admit(const AdmissionRules& rules, const AdmissionState& knowledge,
                                        const AdmissionRequest& request);
 
 // Whether an admitted request may still be sent on a configuration of `catalogAge`: time went by
@@ -70,6 +69,6 @@
 
 // Whether a box that knows this admits requests with a credential: it may call itself ready.
 // Preconditions: none. Thread safety: any thread.
-bool KnowsEnough(const AdmissionRules& rules, const AdmissionKnowledge& knowledge);
+bool CanAdmit(const AdmissionRules& rules, const AdmissionState& knowledge);
 
 }  // namespace onyx
--- a/include/gateway/RequestContext.h
+++ b/include/gateway/RequestContext.h
@@ -41,9 +41,9 @@
 
 // What admission depends on, as this box knows it. Preconditions: none.
 // Thread safety: the context's.
-inline AdmissionKnowledge KnowledgeOf(const ConfigurationState& configuration,
-                                      const UpstreamList& upstreams, const Lifecycle& lifecycle,
-                                      MonoTime now) {
+inline AdmissionState KnowledgeOf(const ConfigurationState& configuration,
+                                  const UpstreamList& upstreams, const Lifecycle& lifecycle,
+                                  MonoTime now) {
     return {lifecycle.refusing(), configuration.catalog(), configuration.age(now),
             upstreams.age(now).has_value()};
 }
--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -29,8 +29,7 @@
 
 }  // namespace
 
-std::variant<Admission, Refusal> Admit(const AdmissionRules& rules,
-                                       const AdmissionKnowledge& knowledge,
+std::variant<Admission, Refusal> Admit(const AdmissionRules& rules, const AdmissionState& knowledge,
                                        const AdmissionRequest& request) {
     if (knowledge.refusing) {
         return MakeRefusal(RefusalReason::kDraining);
@@ -65,7 +64,7 @@
     return route.open || Judge(rules, catalogAge) != Staleness::kUnusable;
 }
 
-bool KnowsEnough(const AdmissionRules& rules, const AdmissionKnowledge& knowledge) {
+bool CanAdmit(const AdmissionRules& rules, const AdmissionState& knowledge) {
     return knowledge.catalog && knowledge.upstreamsListed &&
            Judge(rules, knowledge.catalogAge) != Staleness::kUnusable;
 }
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -65,9 +65,9 @@
 }
 
 bool Gateway::knowsEnough() const {
-    const AdmissionKnowledge knowledge =
+    const AdmissionState knowledge =
         KnowledgeOf(m_configuration, m_upstreams, m_lifecycle, ReadClocks().mono);
-    return KnowsEnough(m_settings.admission, knowledge);
+    return CanAdmit(m_settings.admission, knowledge);
 }
 
 StorePacingFacts Gateway::pacingFacts() const {
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -52,7 +52,7 @@
     const AdmissionRequest request{
         m_message[http::field::host], m_message.target(), m_facts.credential,
         m_facts.clientTimeout,        m_arrived,          m_draw};
-    const AdmissionKnowledge knowledge =
+    const AdmissionState knowledge =
         KnowledgeOf(m_context.configuration, m_context.upstreams, m_context.lifecycle, now);
     auto decided = Admit(m_context.settings.admission, knowledge, request);
     if (auto* refusal = std::get_if<Refusal>(&decided)) {
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -26,7 +26,7 @@
     return Catalog::Make(std::move(parts)).value();
 }
 
-AdmissionKnowledge Fresh() {
+AdmissionState Fresh() {
     return {false, SomeCatalog(), Millis{100}, true};
 }
 
@@ -40,7 +40,7 @@
 }
 
 // The refusal of a request, or nothing if it is admitted.
-std::optional<Refusal> RefusalOf(const AdmissionRules& rules, const AdmissionKnowledge& knowledge,
+std::optional<Refusal> RefusalOf(const AdmissionRules& rules, const AdmissionState& knowledge,
                                  const AdmissionRequest& request) {
     auto decided = Admit(rules, knowledge, request);
     auto* refusal = std::get_if<Refusal>(&decided);
@@ -68,7 +68,7 @@
     const AdmissionRequest noRoute = RequestFor("/nowhere/", "key-of-north");
     const AdmissionRequest noCredential = RequestFor("/keyed/", "x");
     const AdmissionRules serving{ServeStale{}, 3600};
-    AdmissionKnowledge knowledge = Fresh();
+    AdmissionState knowledge = Fresh();
     CHECK(RefusalOf(serving, knowledge, noRoute)->status == 404);
     CHECK(RefusalOf(serving, knowledge, noCredential)->status == 401);
     knowledge.catalogAge = kBeyondFresh;
@@ -82,7 +82,7 @@
 
 TEST_CASE(
     "A configuration that is too old serves open routes only, at admission and before a send") {
-    AdmissionKnowledge knowledge = Fresh();
+    AdmissionState knowledge = Fresh();
     knowledge.catalogAge = kBeyondAll;
     const AdmissionRules rules{ServeStale{}, 3600};
     const auto refusal = RefusalOf(rules, knowledge, RequestFor("/keyed/", "key-of-north"));
@@ -94,12 +94,12 @@
     CHECK(MaySend(rules, *std::get<Admission>(open).route, kBeyondAll));
     const auto keyed = Admit(rules, Fresh(), RequestFor("/keyed/", "key-of-north"));
     CHECK_FALSE(MaySend(rules, *std::get<Admission>(keyed).route, kBeyondAll));
-    CHECK_FALSE(KnowsEnough(rules, knowledge));
-    CHECK(KnowsEnough(rules, Fresh()));
+    CHECK_FALSE(CanAdmit(rules, knowledge));
+    CHECK(CanAdmit(rules, Fresh()));
 }
 
 TEST_CASE("A box that is about to end refuses, and the caller may go elsewhere at once") {
-    AdmissionKnowledge knowledge = Fresh();
+    AdmissionState knowledge = Fresh();
     knowledge.refusing = true;
     const auto refusal = RefusalOf({}, knowledge, RequestFor("/open/", ""));
     REQUIRE(refusal);
