--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -60,7 +60,7 @@
 };
 
 // Admits or refuses a request. Preconditions: none. Thread safety: any thread.
-std::variant<Admission, Refusal> Admit(const AdmissionRules& rules, const AdmissionState& knowledge,
+std::variant<Admission, Refusal> Admit(const AdmissionRules& rules, const AdmissionState& state,
                                        const AdmissionRequest& request);
 
 // Whether an admitted request may still be sent on a configuration of `catalogAge`: time went by
@@ -69,6 +69,6 @@
 
 // Whether a box that knows this admits requests with a credential: it may call itself ready.
 // Preconditions: none. Thread safety: any thread.
-bool CanAdmit(const AdmissionRules& rules, const AdmissionState& knowledge);
+bool CanAdmit(const AdmissionRules& rules, const AdmissionState& state);
 
 }  // namespace onyx
--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-Staleness Judge(const AdmissionRules& rules, std::optional<Millis> catalogAge) {
+Staleness StalenessOf(const AdmissionRules& rules, std::optional<Millis> catalogAge) {
     return JudgeStaleness(rules.staleness, rules.freshLimit, catalogAge);
 }
 
@@ -29,19 +29,19 @@
 
 }  // namespace
 
-std::variant<Admission, Refusal> Admit(const AdmissionRules& rules, const AdmissionState& knowledge,
+std::variant<Admission, Refusal> Admit(const AdmissionRules& rules, const AdmissionState& state,
                                        const AdmissionRequest& request) {
-    if (knowledge.refusing) {
+    if (state.refusing) {
         return MakeRefusal(RefusalReason::kDraining);
     }
-    if (!knowledge.catalog || !knowledge.upstreamsListed) {
+    if (!state.catalog || !state.upstreamsListed) {
         return MakeRefusal(RefusalReason::kNoConfiguration);
     }
     Admission admission;
-    admission.catalog = knowledge.catalog;
+    admission.catalog = state.catalog;
     admission.route = admission.catalog->findRoute(request.host, request.target);
     const Route* route = admission.route;
-    const Staleness staleness = Judge(rules, knowledge.catalogAge);
+    const Staleness staleness = StalenessOf(rules, state.catalogAge);
     if (staleness == Staleness::kUnusable && (route == nullptr || !route->open)) {
         return MakeRefusal(RefusalReason::kConfigurationTooOld);
     }
@@ -61,12 +61,12 @@
 }
 
 bool MaySend(const AdmissionRules& rules, const Route& route, std::optional<Millis> catalogAge) {
-    return route.open || Judge(rules, catalogAge) != Staleness::kUnusable;
+    return route.open || StalenessOf(rules, catalogAge) != Staleness::kUnusable;
 }
 
-bool CanAdmit(const AdmissionRules& rules, const AdmissionState& knowledge) {
-    return knowledge.catalog && knowledge.upstreamsListed &&
-           Judge(rules, knowledge.catalogAge) != Staleness::kUnusable;
+bool CanAdmit(const AdmissionRules& rules, const AdmissionState& state) {
+    return state.catalog && state.upstreamsListed &&
+           StalenessOf(rules, state.catalogAge) != Staleness::kUnusable;
 }
 
 }  // namespace onyx
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -40,9 +40,9 @@
 }
 
 // The refusal of a request, or nothing if it is admitted.
-std::optional<Refusal> RefusalOf(const AdmissionRules& rules, const AdmissionState& knowledge,
+std::optional<Refusal> RefusalOf(const AdmissionRules& rules, const AdmissionState& state,
                                  const AdmissionRequest& request) {
-    auto decided = Admit(rules, knowledge, request);
+    auto decided = Admit(rules, state, request);
     auto* refusal = std::get_if<Refusal>(&decided);
     return refusal ? std::optional<Refusal>(*refusal) : std::nullopt;
 }
@@ -68,40 +68,39 @@
     const AdmissionRequest noRoute = RequestFor("/nowhere/", "key-of-north");
     const AdmissionRequest noCredential = RequestFor("/keyed/", "x");
     const AdmissionRules serving{ServeStale{}, 3600};
-    AdmissionState knowledge = Fresh();
-    CHECK(RefusalOf(serving, knowledge, noRoute)->status == 404);
-    CHECK(RefusalOf(serving, knowledge, noCredential)->status == 401);
-    knowledge.catalogAge = kBeyondFresh;
-    CHECK(RefusalOf(serving, knowledge, noRoute)->reason == RefusalReason::kRouteUnknownYet);
-    CHECK(RefusalOf(serving, knowledge, noCredential)->reason ==
-          RefusalReason::kCredentialUnknownYet);
-    CHECK_FALSE(RefusalOf(serving, knowledge, RequestFor("/keyed/", "key-of-north")));
-    knowledge.upstreamsListed = false;
-    CHECK(RefusalOf(serving, knowledge, noRoute)->reason == RefusalReason::kNoConfiguration);
+    AdmissionState state = Fresh();
+    CHECK(RefusalOf(serving, state, noRoute)->status == 404);
+    CHECK(RefusalOf(serving, state, noCredential)->status == 401);
+    state.catalogAge = kBeyondFresh;
+    CHECK(RefusalOf(serving, state, noRoute)->reason == RefusalReason::kRouteUnknownYet);
+    CHECK(RefusalOf(serving, state, noCredential)->reason == RefusalReason::kCredentialUnknownYet);
+    CHECK_FALSE(RefusalOf(serving, state, RequestFor("/keyed/", "key-of-north")));
+    state.upstreamsListed = false;
+    CHECK(RefusalOf(serving, state, noRoute)->reason == RefusalReason::kNoConfiguration);
 }
 
 TEST_CASE(
     "A configuration that is too old serves open routes only, at admission and before a send") {
-    AdmissionState knowledge = Fresh();
-    knowledge.catalogAge = kBeyondAll;
+    AdmissionState state = Fresh();
+    state.catalogAge = kBeyondAll;
     const AdmissionRules rules{ServeStale{}, 3600};
-    const auto refusal = RefusalOf(rules, knowledge, RequestFor("/keyed/", "key-of-north"));
+    const auto refusal = RefusalOf(rules, state, RequestFor("/keyed/", "key-of-north"));
     REQUIRE(refusal);
     CHECK(refusal->reason == RefusalReason::kConfigurationTooOld);
     CHECK(refusal->retryAfter == kRetryAfterNoConfiguration);
-    const auto open = Admit(rules, knowledge, RequestFor("/open/", ""));
+    const auto open = Admit(rules, state, RequestFor("/open/", ""));
     REQUIRE(std::holds_alternative<Admission>(open));
     CHECK(MaySend(rules, *std::get<Admission>(open).route, kBeyondAll));
     const auto keyed = Admit(rules, Fresh(), RequestFor("/keyed/", "key-of-north"));
     CHECK_FALSE(MaySend(rules, *std::get<Admission>(keyed).route, kBeyondAll));
-    CHECK_FALSE(CanAdmit(rules, knowledge));
+    CHECK_FALSE(CanAdmit(rules, state));
     CHECK(CanAdmit(rules, Fresh()));
 }
 
 TEST_CASE("A box that is about to end refuses, and the caller may go elsewhere at once") {
-    AdmissionState knowledge = Fresh();
-    knowledge.refusing = true;
-    const auto refusal = RefusalOf({}, knowledge, RequestFor("/open/", ""));
+    AdmissionState state = Fresh();
+    state.refusing = true;
+    const auto refusal = RefusalOf({}, state, RequestFor("/open/", ""));
     REQUIRE(refusal);
     CHECK(refusal->status == 503);
     CHECK(refusal->retryAfter == Millis{0});
