--- a/include/admission/Refusal.h
+++ b/include/admission/Refusal.h
@@ -45,13 +45,13 @@
 // last.
 //
 // The balancer already sends to the other boxes.
-inline constexpr Millis kRetryAfterDraining = 0;
+inline constexpr Millis kRetryAfterDrainingMs = 0;
 // Other upstreams, or the same ones with less load, are there after a round of answers.
-inline constexpr Millis kRetryAfterNoUpstream = 200;
+inline constexpr Millis kRetryAfterNoUpstreamMs = 200;
 // A box learns a configuration from the store or from a peer within about this time.
-inline constexpr Millis kRetryAfterNoConfiguration = 500;
+inline constexpr Millis kRetryAfterNoConfigurationMs = 500;
 // At most; a caller is told what is left of the quarantine.
-inline constexpr Millis kRetryAfterQuarantined = RequestQuarantine::kRetentionMs;
+inline constexpr Millis kRetryAfterQuarantinedMs = RequestQuarantine::kRetentionMs;
 
 // The refusal for `reason`. `detail`: the words of kBadHead, which name the header; the others have
 // their own. Preconditions: none. Thread safety: any thread.
--- a/src/admission/Refusal.cpp
+++ b/src/admission/Refusal.cpp
@@ -19,14 +19,14 @@
     std::optional<Millis> retryAfter;
 };
 
-constexpr std::optional<Millis> kLater = kRetryAfterNoConfiguration;
+constexpr std::optional<Millis> kLater = kRetryAfterNoConfigurationMs;
 constexpr std::optional<Millis> kNoRetry = std::nullopt;
 // One row for each reason.
 constexpr std::array<Answer, 13> kAnswers = {{
     {RefusalReason::kBadHead, HttpStatus::kBadRequest, "", kNoRetry},
     {RefusalReason::kNoRequestId, HttpStatus::kBadRequest, "the request has no id", kNoRetry},
     {RefusalReason::kDraining, HttpStatus::kUnavailable, "this box is leaving",
-     kRetryAfterDraining},
+     kRetryAfterDrainingMs},
     {RefusalReason::kNoConfiguration, HttpStatus::kUnavailable, "no configuration yet", kLater},
     {RefusalReason::kConfigurationTooOld, HttpStatus::kUnavailable,
      "what is known of keys and routes is too old", kLater},
@@ -37,9 +37,9 @@
     {RefusalReason::kNoRoute, HttpStatus::kNotFound, "no route", kNoRetry},
     {RefusalReason::kUnknownCredential, HttpStatus::kUnauthorized, "unknown key", kNoRetry},
     {RefusalReason::kQuarantined, HttpStatus::kUnavailable,
-     "upstreams crashed while they ran this request", kRetryAfterQuarantined},
+     "upstreams crashed while they ran this request", kRetryAfterQuarantinedMs},
     {RefusalReason::kNoUpstream, HttpStatus::kUnavailable, "no upstream took the request",
-     kRetryAfterNoUpstream},
+     kRetryAfterNoUpstreamMs},
     {RefusalReason::kTimedOut, HttpStatus::kGatewayTimeout, "the request may have run", kNoRetry},
     {RefusalReason::kUnclear, HttpStatus::kBadGateway, "the request may have run", kNoRetry},
 }};
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -199,7 +199,7 @@
     }
     m_context.log.leftOut(m_facts.id, *leftOut);
     if (leftOut->wait()) {
-        refusal.retryAfter = std::max(*leftOut->wait(), kRetryAfterNoUpstream);
+        refusal.retryAfter = std::max(*leftOut->wait(), kRetryAfterNoUpstreamMs);
     }
 }
 
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -87,7 +87,7 @@
     const auto refusal = RefusalOf(rules, state, RequestFor("/keyed/", "key-of-north"));
     REQUIRE(refusal);
     CHECK(refusal->reason == RefusalReason::kConfigurationTooOld);
-    CHECK(refusal->retryAfter == kRetryAfterNoConfiguration);
+    CHECK(refusal->retryAfter == kRetryAfterNoConfigurationMs);
     const auto open = Admit(rules, state, RequestFor("/open/", ""));
     REQUIRE(std::holds_alternative<Admission>(open));
     CHECK(MaySend(rules, *std::get<Admission>(open).route, kBeyondAll));
@@ -121,7 +121,7 @@
     for (const auto reason : {RefusalReason::kTimedOut, RefusalReason::kUnclear}) {
         CHECK_FALSE(MakeRefusal(reason).retryAfter.has_value());
     }
-    CHECK(MakeRefusal(RefusalReason::kNoUpstream).retryAfter == kRetryAfterNoUpstream);
+    CHECK(MakeRefusal(RefusalReason::kNoUpstream).retryAfter == kRetryAfterNoUpstreamMs);
     CHECK(MakeRefusal(RefusalReason::kBadHead, "Deadline: cannot be read").text ==
           "Deadline: cannot be read");
 }
