--- a/src/admission/Refusal.cpp
+++ b/src/admission/Refusal.cpp
@@ -12,28 +12,29 @@
 namespace {
 
 // How a request is answered that is refused for a reason.
-struct Answer {
+struct RefusalRow {
     RefusalReason reason;
     unsigned status;
     std::string_view text;  // Empty: the detail.
     std::optional<Millis> retryAfter;
 };
 
-constexpr std::optional<Millis> kLater = kRetryAfterNoConfigurationMs;
+constexpr std::optional<Millis> kAfterConfigurationMs = kRetryAfterNoConfigurationMs;
 constexpr std::optional<Millis> kNoRetry = std::nullopt;
 // One row for each reason.
-constexpr std::array<Answer, 13> kAnswers = {{
+constexpr std::array<RefusalRow, 13> kRefusalTable = {{
     {RefusalReason::kBadHead, HttpStatus::kBadRequest, "", kNoRetry},
     {RefusalReason::kNoRequestId, HttpStatus::kBadRequest, "the request has no id", kNoRetry},
     {RefusalReason::kDraining, HttpStatus::kUnavailable, "this box is leaving",
      kRetryAfterDrainingMs},
-    {RefusalReason::kNoConfiguration, HttpStatus::kUnavailable, "no configuration yet", kLater},
+    {RefusalReason::kNoConfiguration, HttpStatus::kUnavailable, "no configuration yet",
+     kAfterConfigurationMs},
     {RefusalReason::kConfigurationTooOld, HttpStatus::kUnavailable,
-     "what is known of keys and routes is too old", kLater},
+     "what is known of keys and routes is too old", kAfterConfigurationMs},
     {RefusalReason::kRouteUnknownYet, HttpStatus::kUnavailable, "no route in a stale configuration",
-     kLater},
+     kAfterConfigurationMs},
     {RefusalReason::kCredentialUnknownYet, HttpStatus::kUnavailable,
-     "unknown key in a stale configuration", kLater},
+     "unknown key in a stale configuration", kAfterConfigurationMs},
     {RefusalReason::kNoRoute, HttpStatus::kNotFound, "no route", kNoRetry},
     {RefusalReason::kUnknownCredential, HttpStatus::kUnauthorized, "unknown key", kNoRetry},
     {RefusalReason::kQuarantined, HttpStatus::kUnavailable,
@@ -47,8 +48,9 @@
 }  // namespace
 
 Refusal MakeRefusal(RefusalReason reason, std::string detail) {
-    const auto row = std::find_if(kAnswers.begin(), kAnswers.end(),
-                                  [&](const Answer& answer) { return answer.reason == reason; });
+    const auto row =
+        std::find_if(kRefusalTable.begin(), kRefusalTable.end(),
+                     [&](const RefusalRow& answer) { return answer.reason == reason; });
     const std::string text = row->text.empty() ? std::move(detail) : std::string(row->text);
     return {reason, row->status, text, row->retryAfter};
 }
