--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -53,10 +53,11 @@
     ServiceId service;
     const ServiceSpec* spec = nullptr;  // Of the service; null if the catalog does not tell.
     TeamId team;
-    const Homes* teamHomes = nullptr;  // Part of the catalog; null: the team has none.
-    int priority = 5;                  // 0 is the most urgent.
-    bool stale = false;                // The catalog is older than is fresh.
-    MonoTime deadline;                 // The caller's, or the route's timeout if that is earlier.
+    const AllowedRegions* teamAllowedRegions =
+        nullptr;         // Part of the catalog; null: the team has none.
+    int priority = 5;    // 0 is the most urgent.
+    bool stale = false;  // The catalog is older than is fresh.
+    MonoTime deadline;   // The caller's, or the route's timeout if that is earlier.
 };
 
 // Admits or refuses a request. Preconditions: none. Thread safety: any thread.
--- a/include/routing/Catalog.h
+++ b/include/routing/Catalog.h
@@ -19,11 +19,11 @@
 namespace onyx {
 
 // The regions that requests may be served in, by name; empty: any.
-using Homes = std::vector<std::string>;
+using AllowedRegions = std::vector<std::string>;
 
 // Whether a request with these homes may be served in a region. Preconditions: none.
 // Thread safety: any thread.
-bool AllowsRegion(const Homes& homes, std::string_view region);
+bool AllowsRegion(const AllowedRegions& homes, std::string_view region);
 
 // A service of a route and its share of the route's requests.
 struct WeightedService {
@@ -45,7 +45,7 @@
     Millis objective = 1000;  // The answer (streams: the first event) is wanted within this.
     int priority = 5;         // 0 is the most urgent.
     int maxAttempts = 1;      // Upstreams that one request may be sent to.
-    Homes homes;              // Its requests stay there.
+    AllowedRegions homes;     // Its requests stay there.
 };
 
 // What is known of a service besides its upstreams.
@@ -60,7 +60,7 @@
 struct Credential {
     TeamId team;
     std::optional<int> priority;  // Goes before the route's.
-    Homes homes;                  // Of the team; they bind besides the route's.
+    AllowedRegions homes;         // Of the team; they bind besides the route's.
 };
 
 // Bounds on what callers may send, and how long they may take.
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -32,16 +32,18 @@
 // Both the route's and the team's homes bind. A zone whose region is not known is in none of them.
 bool IsInHomes(const Upstream& upstream, const GatewaySettings& settings,
                const PlacementQuestion& question) {
-    const auto isUnbound = [](const Homes* homes) { return homes == nullptr || homes->empty(); };
-    if (isUnbound(question.routeHomes) && isUnbound(question.teamHomes)) {
+    const auto isUnbound = [](const AllowedRegions* homes) {
+        return homes == nullptr || homes->empty();
+    };
+    if (isUnbound(question.routeHomes) && isUnbound(question.teamAllowedRegions)) {
         return true;
     }
     const auto region = settings.regions.find(upstream.zone.value);
     const std::string name = region == settings.regions.end() ? std::string() : region->second;
-    const auto allows = [&](const Homes* homes) {
+    const auto allows = [&](const AllowedRegions* homes) {
         return homes == nullptr || AllowsRegion(*homes, name);
     };
-    return allows(question.routeHomes) && allows(question.teamHomes);
+    return allows(question.routeHomes) && allows(question.teamAllowedRegions);
 }
 
 UpstreamStanding StandingOf(const Upstream& upstream, const PlacementKnowledge& knowledge,
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -124,7 +124,7 @@
     return {m_admission.service,
             m_admission.spec,
             &m_admission.route->homes,
-            m_admission.teamHomes,
+            m_admission.teamAllowedRegions,
             m_facts.sharedParts,
             m_tried,
             m_draw};
--- a/src/routing/Catalog.cpp
+++ b/src/routing/Catalog.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-bool AllowsRegion(const Homes& homes, std::string_view region) {
+bool AllowsRegion(const AllowedRegions& homes, std::string_view region) {
     return homes.empty() || std::find(homes.begin(), homes.end(), region) != homes.end();
 }
 
