--- a/include/routing/Catalog.h
+++ b/include/routing/Catalog.h
@@ -21,9 +21,9 @@
 // The regions that requests may be served in, by name; empty: any.
 using AllowedRegions = std::vector<std::string>;
 
-// Whether a request with these homes may be served in a region. Preconditions: none.
+// Whether a request with these allowedRegions may be served in a region. Preconditions: none.
 // Thread safety: any thread.
-bool AllowsRegion(const AllowedRegions& homes, std::string_view region);
+bool AllowsRegion(const AllowedRegions& allowedRegions, std::string_view region);
 
 // A service of a route and its share of the route's requests.
 struct WeightedService {
@@ -37,15 +37,15 @@
     std::string host;        // In lower case, without a port.
     std::string pathPrefix;  // Begins and ends with a slash.
     std::vector<WeightedService> services;
-    bool repeatable = false;  // It may run more than once.
-    bool stream = false;      // Its answer is a stream of events.
-    bool resumable = false;   // A broken stream may go on at another upstream.
-    bool open = false;        // It needs no credential.
-    Millis timeout = 30000;   // Longest that a request is held.
-    Millis objective = 1000;  // The answer (streams: the first event) is wanted within this.
-    int priority = 5;         // 0 is the most urgent.
-    int maxAttempts = 1;      // Upstreams that one request may be sent to.
-    AllowedRegions homes;     // Its requests stay there.
+    bool repeatable = false;        // It may run more than once.
+    bool stream = false;            // Its answer is a stream of events.
+    bool resumable = false;         // A broken stream may go on at another upstream.
+    bool open = false;              // It needs no credential.
+    Millis timeout = 30000;         // Longest that a request is held.
+    Millis objective = 1000;        // The answer (streams: the first event) is wanted within this.
+    int priority = 5;               // 0 is the most urgent.
+    int maxAttempts = 1;            // Upstreams that one request may be sent to.
+    AllowedRegions allowedRegions;  // Its requests stay there.
 };
 
 // What is known of a service besides its upstreams.
@@ -59,8 +59,8 @@
 // The team that a credential (an API key, a token) stands for.
 struct Credential {
     TeamId team;
-    std::optional<int> priority;  // Goes before the route's.
-    AllowedRegions homes;         // Of the team; they bind besides the route's.
+    std::optional<int> priority;    // Goes before the route's.
+    AllowedRegions allowedRegions;  // Of the team; they bind besides the route's.
 };
 
 // Bounds on what callers may send, and how long they may take.
--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -22,7 +22,7 @@
                                : RefusalReason::kUnknownCredential;
     }
     admission.team = credential->team;
-    admission.teamAllowedRegions = &credential->homes;
+    admission.teamAllowedRegions = &credential->allowedRegions;
     admission.priority = credential->priority.value_or(admission.priority);
     return std::nullopt;
 }
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -123,7 +123,7 @@
 PlacementQuestion RequestHandler::placementQuestion() const {
     return {m_admission.service,
             m_admission.spec,
-            &m_admission.route->homes,
+            &m_admission.route->allowedRegions,
             m_admission.teamAllowedRegions,
             m_facts.sharedParts,
             m_tried,
--- a/src/routing/Catalog.cpp
+++ b/src/routing/Catalog.cpp
@@ -41,8 +41,9 @@
 
 }  // namespace
 
-bool AllowsRegion(const AllowedRegions& homes, std::string_view region) {
-    return homes.empty() || std::find(homes.begin(), homes.end(), region) != homes.end();
+bool AllowsRegion(const AllowedRegions& allowedRegions, std::string_view region) {
+    return allowedRegions.empty() ||
+           std::find(allowedRegions.begin(), allowedRegions.end(), region) != allowedRegions.end();
 }
 
 Result<std::shared_ptr<const Catalog>> Catalog::Make(CatalogParts parts) {
