--- a/include/routing/Catalog.h
+++ b/include/routing/Catalog.h
@@ -53,7 +53,8 @@
     ServiceId name;
     bool model = false;         // It is a language model with a prompt cache.
     bool fetchesCache = false;  // Its upstreams can fetch cached prompts from each other.
-    double coldPerSecond = 0;   // Requests that an upstream bears while it is cold; 0: not told.
+    double coldRequestsPerSecond =
+        0;  // Requests that an upstream bears while it is cold; 0: not told.
 };
 
 // The team that a credential (an API key, a token) stands for.
--- a/include/routing/UpstreamTable.h
+++ b/include/routing/UpstreamTable.h
@@ -76,7 +76,7 @@
 
     // The upstreams of `service` that take new work, ordered by id. Valid until the next change.
     // Preconditions: none.
-    std::vector<const Upstream*> takingWork(const ServiceId& service) const;
+    std::vector<const Upstream*> acceptingUpstreams(const ServiceId& service) const;
 
     // One entry of the table.
     struct Entry {
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -17,14 +17,14 @@
     const UpstreamRecords& records = knowledge.records;
     const Incarnation incarnation = upstream.incarnation();
     const auto coldLeft = records.cold().coldLeft(incarnation, now);
-    if (!coldLeft || question.spec == nullptr || question.spec->coldPerSecond <= 0) {
+    if (!coldLeft || question.spec == nullptr || question.spec->coldRequestsPerSecond <= 0) {
         return std::nullopt;
     }
     if (!records.coldShare().takesPart(upstream.id, now)) {
         return coldLeft;
     }
     ColdLimit limit = knowledge.settings.cold;
-    limit.perSecond = question.spec->coldPerSecond;
+    limit.perSecond = question.spec->coldRequestsPerSecond;
     const Millis spacing = records.coldShare().spacing(limit);
     return std::min(records.cold().waitBeforeSend(incarnation, spacing, now), *coldLeft);
 }
@@ -147,7 +147,7 @@
     return LoadEstimate(loads, share).mean();
 }
 
-std::vector<PlacementCandidate> CandidatesOf(std::span<const Upstream* const> takingWork,
+std::vector<PlacementCandidate> CandidatesOf(std::span<const Upstream* const> acceptingUpstreams,
                                              std::string_view ownZone,
                                              const UpstreamRecords& records,
                                              const PlacementQuestion& question,
@@ -157,9 +157,9 @@
         holders = records.caches().holders(question.sharedParts.back(), now);
     }
     std::vector<PlacementCandidate> candidates;
-    candidates.reserve(takingWork.size());
-    for (size_t i = 0; i < takingWork.size(); ++i) {
-        const Upstream* upstream = takingWork[i];
+    candidates.reserve(acceptingUpstreams.size());
+    for (size_t i = 0; i < acceptingUpstreams.size(); ++i) {
+        const Upstream* upstream = acceptingUpstreams[i];
         PlacementCandidate candidate;
         candidate.id = upstream->id;
         candidate.sameZone = upstream->zone.value == ownZone;
@@ -224,10 +224,10 @@
                                          const PlacementQuestion& question, MonoTime now) {
     const auto& [settings, upstreams, records, evacuations] = knowledge;
     const Eligible eligible = EligibleFor(knowledge, question, now);
-    const std::vector<const Upstream*>& takingWork = eligible.upstreams;
-    const ServiceLoads service = LoadsOf(takingWork, records, now);
+    const std::vector<const Upstream*>& acceptingUpstreams = eligible.upstreams;
+    const ServiceLoads service = LoadsOf(acceptingUpstreams, records, now);
     const auto candidates =
-        CandidatesOf(takingWork, settings.zone, records, question, service, now);
+        CandidatesOf(acceptingUpstreams, settings.zone, records, question, service, now);
     const PlacementPolicy policy = PolicyFor(settings, records, question, service.mean,
                                              ServiceMean(eligible, records, now), now);
     const uint64_t promptHash =
@@ -239,11 +239,11 @@
     const PlacementCandidate& candidate = candidates[chosen->index];
     const LoadsAtChoice loads{candidate.load,
                               service.isReported(chosen->index),
-                              records.reportAge(takingWork[chosen->index]->id, now),
+                              records.reportAge(acceptingUpstreams[chosen->index]->id, now),
                               chosen->meanLoad,
                               chosen->bound,
                               records.boxesHeard()};
-    AttemptPlace place{*takingWork[chosen->index], chosen->reason, loads, std::nullopt,
+    AttemptPlace place{*acceptingUpstreams[chosen->index], chosen->reason, loads, std::nullopt,
                        eligible.leftOut};
     if (question.spec != nullptr && question.spec->fetchesCache) {
         place.source = FetchSourceFor(settings, upstreams, records, question, place.upstream, now);
--- a/src/routing/UpstreamTable.cpp
+++ b/src/routing/UpstreamTable.cpp
@@ -77,7 +77,7 @@
     return it == m_entries.end() ? nullptr : &it->second.upstream;
 }
 
-std::vector<const Upstream*> UpstreamTable::takingWork(const ServiceId& service) const {
+std::vector<const Upstream*> UpstreamTable::acceptingUpstreams(const ServiceId& service) const {
     std::vector<const Upstream*> out;
     for (const auto& [id, entry] : m_entries) {
         if (entry.upstream.service == service && !entry.upstream.draining) {
--- a/tests/UpstreamTableTest.cpp
+++ b/tests/UpstreamTableTest.cpp
@@ -16,9 +16,9 @@
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 1);
     table.put(UpstreamOf("b", true), {1}, 1);
-    REQUIRE(table.takingWork(ServiceId("s")).size() == 1);
-    CHECK(table.takingWork(ServiceId("s"))[0]->id == "a");
-    CHECK(table.takingWork(ServiceId("t")).empty());
+    REQUIRE(table.acceptingUpstreams(ServiceId("s")).size() == 1);
+    CHECK(table.acceptingUpstreams(ServiceId("s"))[0]->id == "a");
+    CHECK(table.acceptingUpstreams(ServiceId("t")).empty());
 }
 
 TEST_CASE("A change keeps the time at which an upstream came") {
