--- a/include/routing/UpstreamTable.h
+++ b/include/routing/UpstreamTable.h
@@ -100,7 +100,7 @@
     std::map<std::string, Entry> m_entries;
     std::deque<Removed> m_removed;
     uint64_t m_revision = 0;
-    uint64_t m_oldest = 0;  // Changes since an older revision are not known.
+    uint64_t m_oldestKnownRevision = 0;  // Changes since an older revision are not known.
 };
 
 }  // namespace onyx
--- a/src/routing/UpstreamTable.cpp
+++ b/src/routing/UpstreamTable.cpp
@@ -35,7 +35,7 @@
     }
     m_removed.push_back({id, revision});
     if (m_removed.size() > kMaxRemoved) {
-        m_oldest = std::max(m_oldest, m_removed.front().at);
+        m_oldestKnownRevision = std::max(m_oldestKnownRevision, m_removed.front().at);
         m_removed.pop_front();
     }
 }
@@ -44,7 +44,7 @@
     const bool first = m_revision == 0;
     const bool restored = revision < m_revision;
     if (first || restored) {
-        m_oldest = revision;
+        m_oldestKnownRevision = revision;
     }
     if (restored) {
         m_removed.clear();
@@ -58,7 +58,7 @@
 UpstreamChanges UpstreamTable::changesSince(uint64_t revision) const {
     UpstreamChanges changes;
     changes.revision = m_revision;
-    changes.whole = revision < m_oldest;
+    changes.whole = revision < m_oldestKnownRevision;
     for (const auto& [id, entry] : m_entries) {
         if (changes.whole || entry.changedAt > revision) {
             changes.changed.push_back(entry.upstream);
