--- a/include/lifecycle/Drain.h
+++ b/include/lifecycle/Drain.h
@@ -24,7 +24,7 @@
     static Millis DefaultAccept(Millis grace);
     // The limit for this grace; the rest of it is for writing the last answers and logs.
     // Preconditions: grace > 0. Thread safety: any thread.
-    static Millis LimitOf(Millis grace);
+    static Millis DefaultLimit(Millis grace);
 };
 
 // How far a box's life has come.
@@ -48,13 +48,13 @@
     bool refusing() const { return m_phase == LifecyclePhase::kRefusing; }
 
     // Count a request in and out. Preconditions: each that began ends once.
-    void requestBegan() { ++m_activeRequests; }
-    void requestEnded() { --m_activeRequests; }
+    void recordRequestStart() { ++m_activeRequests; }
+    void recordRequestEnd() { --m_activeRequests; }
     // Requests under way. Preconditions: none.
     size_t activeRequests() const { return m_activeRequests; }
 
     // Whether the process may end, `sinceSignal` after the stop signal. Preconditions: none.
-    bool mayEnd(const DrainSettings& settings, Millis sinceSignal) const {
+    bool canExit(const DrainSettings& settings, Millis sinceSignal) const {
         return m_activeRequests == 0 || sinceSignal >= settings.limit;
     }
 
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -94,7 +94,7 @@
     co_await SleepFor(m_settings.drain.accept);
     m_lifecycle.startRefusing();
     m_callers.close();
-    while (!m_lifecycle.mayEnd(m_settings.drain, ReadClocks().mono - start)) {
+    while (!m_lifecycle.canExit(m_settings.drain, ReadClocks().mono - start)) {
         co_await SleepFor(kDrainPeriod);
     }
     // The last answers are written; callers get a moment to take them.
--- a/src/gateway/GatewaySettings.cpp
+++ b/src/gateway/GatewaySettings.cpp
@@ -98,7 +98,7 @@
     const Millis grace = reader.number("drain.grace_ms", kDefaultGrace, 500, kDay);
     DrainSettings drain;
     drain.accept = reader.number("drain.accept_ms", DrainSettings::DefaultAccept(grace), 0, kDay);
-    drain.limit = DrainSettings::LimitOf(grace);
+    drain.limit = DrainSettings::DefaultLimit(grace);
     return drain;
 }
 
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -17,7 +17,7 @@
       m_draw(context.random()) {}
 
 Task<AfterAnswer> RequestHandler::run() {
-    m_context.lifecycle.requestBegan();
+    m_context.lifecycle.recordRequestStart();
     std::optional<Refusal> refusal = readHead();
     if (!refusal) {
         refusal = admit();
@@ -28,7 +28,7 @@
     } else {
         after = co_await serve();
     }
-    m_context.lifecycle.requestEnded();
+    m_context.lifecycle.recordRequestEnd();
     co_return after;
 }
 
--- a/src/lifecycle/Drain.cpp
+++ b/src/lifecycle/Drain.cpp
@@ -18,7 +18,7 @@
     return std::min(kBalancerLetsGo, grace / kAcceptPart);
 }
 
-Millis DrainSettings::LimitOf(Millis grace) {
+Millis DrainSettings::DefaultLimit(Millis grace) {
     return grace - std::max(kMinEndTime, grace / kEndPart);
 }
 
--- a/tests/DrainTest.cpp
+++ b/tests/DrainTest.cpp
@@ -7,7 +7,7 @@
 TEST_CASE("A planned stop takes requests, then refuses them, and ends within its grace") {
     for (const Millis grace : {500, 1000, 8000, 30000}) {
         const Millis accept = DrainSettings::DefaultAccept(grace);
-        const Millis limit = DrainSettings::LimitOf(grace);
+        const Millis limit = DrainSettings::DefaultLimit(grace);
         CHECK(accept > 0);
         CHECK(accept < limit);
         CHECK(limit < grace);
@@ -18,14 +18,14 @@
     const DrainSettings settings;
     Lifecycle lifecycle;
     CHECK_FALSE(lifecycle.draining());
-    lifecycle.requestBegan();
+    lifecycle.recordRequestStart();
     lifecycle.startDraining();
     CHECK(lifecycle.draining());
     CHECK_FALSE(lifecycle.refusing());
     lifecycle.startRefusing();
     CHECK(lifecycle.refusing());
-    CHECK_FALSE(lifecycle.mayEnd(settings, settings.accept));
-    CHECK(lifecycle.mayEnd(settings, settings.limit));
-    lifecycle.requestEnded();
-    CHECK(lifecycle.mayEnd(settings, settings.accept));
+    CHECK_FALSE(lifecycle.canExit(settings, settings.accept));
+    CHECK(lifecycle.canExit(settings, settings.limit));
+    lifecycle.recordRequestEnd();
+    CHECK(lifecycle.canExit(settings, settings.accept));
 }
