--- a/src/lifecycle/Drain.cpp
+++ b/src/lifecycle/Drain.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-constexpr Millis kBalancerLetsGo = 2500;  // Two questions, one a second, and a half.
-constexpr Millis kAcceptPart = 3;         // Of a short grace.
+constexpr Millis kBalancerDetectionMs = 2500;  // Two questions, one a second, and a half.
+constexpr Millis kAcceptDivisor = 3;           // Of a short grace.
 // What is kept of the grace for the end itself.
-constexpr Millis kMinEndTime = 300;
-constexpr Millis kEndPart = 16;
+constexpr Millis kMinExitTimeMs = 300;
+constexpr Millis kExitTimeDivisor = 16;
 
 }  // namespace
 
 Millis DrainSettings::DefaultAccept(Millis grace) {
-    return std::min(kBalancerLetsGo, grace / kAcceptPart);
+    return std::min(kBalancerDetectionMs, grace / kAcceptDivisor);
 }
 
 Millis DrainSettings::DefaultLimit(Millis grace) {
-    return grace - std::max(kMinEndTime, grace / kEndPart);
+    return grace - std::max(kMinExitTimeMs, grace / kExitTimeDivisor);
 }
 
 }  // namespace onyx
