--- a/include/health/ZoneEvacuations.h
+++ b/include/health/ZoneEvacuations.h
@@ -38,8 +38,8 @@
     // Takes in all orders that stand, or changes of them; the zones whose order began or ended.
     // `acceptLowerRevision`: a lower revision than before counts too, since the store was restored;
     // else it changes nothing. Preconditions: times do not fall.
-    EvacuationChanges take(const EvacuationChanges& changes, bool acceptLowerRevision,
-                           MonoTime now);
+    EvacuationChanges apply(const EvacuationChanges& changes, bool acceptLowerRevision,
+                            MonoTime now);
 
     // Whether no request is sent to the zone's upstreams. `listAge`: of the list of upstreams.
     // Preconditions: as above.
