--- a/include/gateway/PlaceAttempt.h
+++ b/include/gateway/PlaceAttempt.h
@@ -19,10 +19,10 @@
 // One request as far as the place of its next attempt depends on it.
 struct PlacementQuestion {
     const ServiceId& service;
-    const ServiceSpec* spec = nullptr;                   // Of the service, or null.
-    const AllowedRegions* routeHomes = nullptr;          // Null: none.
-    const AllowedRegions* teamAllowedRegions = nullptr;  // The same.
-    std::span<const std::string> sharedParts;            // Of its prompt, in order.
+    const ServiceSpec* spec = nullptr;                    // Of the service, or null.
+    const AllowedRegions* routeAllowedRegions = nullptr;  // Null: none.
+    const AllowedRegions* teamAllowedRegions = nullptr;   // The same.
+    std::span<const std::string> sharedParts;             // Of its prompt, in order.
     const std::set<std::string>& tried;  // Upstreams that had it, or did not take it.
     uint64_t draw = 0;                   // A random number of the request's own.
 };
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -35,7 +35,7 @@
     const auto isUnbound = [](const AllowedRegions* homes) {
         return homes == nullptr || homes->empty();
     };
-    if (isUnbound(question.routeHomes) && isUnbound(question.teamAllowedRegions)) {
+    if (isUnbound(question.routeAllowedRegions) && isUnbound(question.teamAllowedRegions)) {
         return true;
     }
     const auto region = settings.regions.find(upstream.zone.value);
@@ -43,7 +43,7 @@
     const auto allows = [&](const AllowedRegions* homes) {
         return homes == nullptr || AllowsRegion(*homes, name);
     };
-    return allows(question.routeHomes) && allows(question.teamAllowedRegions);
+    return allows(question.routeAllowedRegions) && allows(question.teamAllowedRegions);
 }
 
 UpstreamStanding StandingOf(const Upstream& upstream, const PlacementKnowledge& knowledge,
