--- a/include/health/AttemptHealthSignal.h
+++ b/include/health/AttemptHealthSignal.h
@@ -1,5 +1,5 @@
-// Decides what the end of an attempt says of the health of its upstream. Input: how it ended, and
-// whether the upstream's machine gave no sign of life. What follows from it: UpstreamHealth.
+// Maps the end of an attempt to a health signal for its upstream. UpstreamHealth decides what
+// follows from the signal.
 #pragma once
 
 #include "include/health/UpstreamHealth.h"
@@ -9,9 +9,10 @@
 
 namespace onyx {
 
-// The sign that an attempt which ended with `end` gives, or nothing if it says nothing of the
-// upstream's health. `unreachable`: the network to the upstream is cut, so other attempts there
-// fare no better. Preconditions: none. Thread safety: any thread.
+// Returns the health signal of an attempt that ended with `end`, or nullopt if its end shows
+// nothing about the upstream's health. `unreachable`: the upstream's machine showed no sign of
+// life, so the network to it is cut and other attempts there would fail too.
+// Preconditions: none. Thread safety: any thread.
 constexpr std::optional<HealthSignal> AttemptHealthSignal(AttemptEnd end, bool unreachable) {
     switch (end) {
         case AttemptEnd::kAnswered:
--- a/include/health/ColdUpstreams.h
+++ b/include/health/ColdUpstreams.h
@@ -1,11 +1,13 @@
-// Decides which upstreams are cold, and when this box may send each of them its next request.
+// Tracks which upstreams are cold, and when this box may send the next request to each of them.
 //
-// An upstream that has just started, or was idle for long, bears only a few requests a second of
-// all boxes together, and falls over well above that. Which boxes send to it, and how far apart,
-// is ColdShare's matter; here stands coldUntil when it is cold and when this box lastSent last.
+// An upstream that has just started, or was idle for a long time, can serve only a few requests per
+// second from all boxes together, and fails under a load well above that. ColdShare decides which
+// boxes send to it and how far apart their requests are; this class stores until when an upstream
+// is cold and when this box last sent a request to it.
 //
-// Inputs: what the list of upstreams and answers say, for the incarnation that they speak of. Kept
-// also while an upstream is not listed, since entries lapse while the store is away.
+// Inputs: the cold times reported by the upstream list and by answers, each for the incarnation
+// that it refers to. Records are kept while an upstream is not listed, because entries of the list
+// expire while the store is unreachable.
 #pragma once
 
 #include "include/base/Time.h"
@@ -18,38 +20,43 @@
 
 namespace onyx {
 
-// Not thread safe: one task owns it.
+// Thread safety: none; one task owns it.
 class ColdUpstreams {
 public:
-    static constexpr size_t kMaxUpstreams = 4096;  // Remembered; beyond it the oldest go.
+    static constexpr size_t kMaxUpstreams =
+        4096;  // Beyond this many records the oldest is evicted.
 
-    // The upstream is cold for `left` milliseconds from now on; 0: it is not. True if it becomes
-    // cold by that. What is said of an earlier incarnation changes nothing.
-    // Preconditions: times do not fall; left >= 0.
+    // Records that the upstream is cold for another `left` milliseconds, or not cold if `left` is
+    // 0. Returns whether the upstream was not cold before and now is. A report on an earlier
+    // incarnation than the recorded one is ignored.
+    // Preconditions: `now` never decreases between calls; left >= 0.
     bool note(const Incarnation& upstream, Millis left, MonoTime now);
 
-    // How long it stays cold, in milliseconds; nothing if it is not. A start that is not known
-    // counts as the one that was spoken of. Preconditions: as above.
+    // Returns how long the upstream stays cold, in milliseconds, or nullopt if it is not cold. An
+    // unknown start time counts as that of the recorded incarnation.
+    // Preconditions: `now` never decreases between calls.
     std::optional<Millis> coldLeft(const Incarnation& upstream, MonoTime now) const;
 
-    // An attempt of this box goes to the upstream. Preconditions: as above.
+    // Records that this box sends an attempt to the upstream.
+    // Preconditions: `now` never decreases between calls.
     void recordSend(const Incarnation& upstream, MonoTime now);
 
-    // How long this box waits before it sends a cold upstream another request, if its requests are
-    // `spacing` milliseconds apart; 0: it may send now. Preconditions: as above.
+    // Returns how long, in milliseconds, this box must wait before it sends another request to a
+    // cold upstream, if its requests are to be `spacing` milliseconds apart; 0: it may send now.
+    // Preconditions: `now` never decreases between calls.
     Millis waitBeforeSend(const Incarnation& upstream, Millis spacing, MonoTime now) const;
 
 private:
     struct Record {
-        int64_t startedMs = 0;  // Of the incarnation that is cold.
+        int64_t startedMs = 0;  // Start of the cold incarnation, Unix time in ms.
         MonoTime coldUntil;
-        std::optional<MonoTime> lastSent;  // Last, while it was cold.
+        std::optional<MonoTime> lastSent;  // Last request of this box while it was cold.
     };
 
     const Record* find(const Incarnation& upstream) const;
     void evictOne();
 
-    std::unordered_map<std::string, Record> m_records;  // By id.
+    std::unordered_map<std::string, Record> m_records;  // By upstream id.
 };
 
 }  // namespace onyx
--- a/include/health/RequestFingerprint.h
+++ b/include/health/RequestFingerprint.h
@@ -1,6 +1,6 @@
-// Decides which requests count as the same one sent again: those with the same method, host,
-// target, team and body. Every box computes the same value for them, whatever id, credential or
-// connection each comes with.
+// Fingerprints that identify repeated requests: two requests are the same if they have the same
+// method, host, target, team and body. Every box computes the same value for them, whatever request
+// id, credential or connection each of them has.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,21 @@
 
 namespace onyx {
 
-// What a request is recognized by. The views need to live for the call only.
+// The parts of a request that identify it. The views must stay valid for the call only.
 struct RequestIdentity {
     std::string_view method;
-    std::string_view host;    // As the caller sent it; case and port do not matter.
+    std::string_view host;    // As the caller sent it; case and port are ignored.
     std::string_view target;  // Path and query.
-    std::string_view team;    // Empty: none.
+    std::string_view team;    // Empty: the request has no team.
     std::string_view body;
 };
 
-// The same value on every box and in every release. Preconditions: none. Thread safety: any thread.
+// Returns the fingerprint of a request. Every box and every release computes the same value.
+// Preconditions: none. Thread safety: any thread.
 uint64_t Fingerprint(const RequestIdentity& request);
 
-// A fingerprint as it stands in the log. Preconditions: none. Thread safety: any thread.
+// Returns a fingerprint as it is written to the log: 16 hexadecimal digits.
+// Preconditions: none. Thread safety: any thread.
 std::string FingerprintText(uint64_t fingerprint);
 
 }  // namespace onyx
--- a/include/health/RequestQuarantine.h
+++ b/include/health/RequestQuarantine.h
@@ -1,14 +1,14 @@
-// Decides which requests are kept from upstreams because upstreams crashed while they ran them.
+// Decides which requests are not sent to upstreams because upstreams crashed while running them.
 //
-// Inputs: the crashes that boxes saw, each with the request that was under way and the time that it
-// had been there; the requests that were answered; the time. A request counts as the cause once
-// kCrashThreshold of its attempts ended with their upstream, one after the other: attempts that
-// were under way together, and those at one upstream, are counted once, so that a popular request
-// is not blamed for the loss of several upstreams at one moment. A good answer clears it of all
-// crashes before.
+// Inputs: the crashes that boxes observed, each with the request that the upstream was running and
+// for how long it had been running it; the requests that were answered; the time. A request counts
+// as the cause once kCrashThreshold of its attempts, one after the other, ended in a crash of their
+// upstream. Attempts that ran at the same time, and attempts that ended together at one upstream,
+// count once, so that a popular request is not blamed when several upstreams are lost at the same
+// moment. A successful answer clears the request of all earlier crashes.
 //
-// Crashes carry an id of their box's choice, so boxes may tell each other the same one in any order
-// and as often as they like.
+// Each observation carries an id chosen by its box, so boxes may send each other the same
+// observation in any order and any number of times.
 #pragma once
 
 #include "include/base/Time.h"
@@ -21,77 +21,85 @@
 
 namespace onyx {
 
-// An upstream crashed while it ran an attempt of a request.
+// The crash of an upstream while it ran an attempt of a request, as one box observed it.
 struct CrashObservation {
-    uint64_t request = 0;   // Its fingerprint, see RequestFingerprint.
-    uint32_t id = 0;        // Of this observation, drawn by the box that saw it.
-    uint32_t upstream = 0;  // Low half of the hash of its id.
+    uint64_t request = 0;   // Fingerprint, see RequestFingerprint.
+    uint32_t id = 0;        // Random id chosen by the observing box.
+    uint32_t upstream = 0;  // ShortHash() of the upstream's id.
     MonoTime sent;
     MonoTime crashed;  // Not before `sent`.
 };
 
-// Not thread safe: one task owns it.
+// Thread safety: none; one task owns it.
 class RequestQuarantine {
 public:
-    static constexpr size_t kCrashThreshold = 3;  // So many make a request the cause.
-    // How long a crash counts, and a request stays in quarantine after its last one.
+    static constexpr size_t kCrashThreshold = 3;  // Crashes that make a request the cause.
+    // How long a crash counts, and how long a request stays in quarantine after its last crash.
     static constexpr Millis kRetentionMs = Millis{10} * 60 * 1000;
-    // Requests remembered; beyond it those with the fewest crashes, then the oldest, go first.
+    // Bound on recorded requests. Beyond it the one with the fewest crashes is evicted first; among
+    // equals, the one whose last crash is the oldest.
     static constexpr size_t kMaxRequests = 4096;
-    // Sightings remembered of each.
+    // Bound on recorded observations per request.
     static constexpr size_t kMaxObservations = 8;
-    // Answers to requests that no crash is known of are remembered for this long at least, in
-    // milliseconds, if they are no more than so many: news of a crash may come later.
+    // Answers to requests without a recorded crash are kept for at least kMinAnswerRetentionMs
+    // milliseconds, as long as there are at most kMaxAnswers of them, because the report of an
+    // earlier crash may arrive after the answer.
     static constexpr Millis kMinAnswerRetentionMs = 10000;
     static constexpr size_t kMaxAnswers = 4096;
 
-    // What is to be made known to other boxes.
+    // What noteCrash() changed, and so what must be sent to other boxes.
     enum class CrashEffect : uint8_t { kUnchanged, kRecorded, kQuarantined };
 
-    // Takes in a crash, seen here or told by another box; kUnchanged if it was known or is too old.
-    // Preconditions: times do not fall.
+    // Records a crash that this box observed or another box reported. Returns kUnchanged if the
+    // crash is already recorded, too old, or followed by a successful answer.
+    // Preconditions: `now` never decreases between calls.
     CrashEffect noteCrash(const CrashObservation& observation, MonoTime now);
 
-    // A request was answered at `at`; true if that clears it of a crash that was known. It also
-    // clears it of crashes until then that become known later. Preconditions: as above.
+    // Records that a request was answered at `at`. Returns whether this clears it of a recorded
+    // crash. The answer also clears it of crashes up to `at` that are reported later.
+    // Preconditions: `now` never decreases between calls.
     bool noteAnswer(uint64_t request, MonoTime at, MonoTime now);
 
-    // When a request with a crash at `crashed` was last answered, if that was later and so clears
-    // it of the crash. Preconditions: none.
+    // Returns when the request was last answered, if that was not before `crashed` and so clears
+    // the request of a crash at that time; else nullopt. Preconditions: none.
     std::optional<MonoTime> answerAfter(uint64_t request, MonoTime crashed) const;
 
-    // Whether two crashes, one after the other, were ever known of a request.
+    // Returns whether two crashes, one after the other, were ever recorded for a request.
     // Preconditions: none.
     bool wasSuspected(uint64_t request) const;
 
-    // How long a request is to be kept from upstreams, in milliseconds; nothing if it is not.
-    // Preconditions: as above.
+    // Returns for how long a request stays in quarantine, in milliseconds, or nullopt if it is not
+    // in quarantine. Preconditions: `now` never decreases between calls.
     std::optional<Millis> remainingTime(uint64_t request, MonoTime now) const;
 
-    // Whether no request is suspected at all. Preconditions: none.
+    // Returns whether no request is recorded. Preconditions: none.
     bool empty() const { return m_records.empty(); }
-    // Requests in quarantine. Preconditions: as above.
+    // Returns the number of requests in quarantine.
+    // Preconditions: `now` never decreases between calls.
     size_t quarantined(MonoTime now) const;
-    // Crashes of which a request may be the cause; 0: none. Preconditions: none.
+    // Returns the number of crashes that a request may have caused. Preconditions: none.
     size_t crashCount(uint64_t request) const;
 
-    // The observations of one request, by the time of the crash. Preconditions: as above.
+    // Returns the observations of one request, ordered by the time of the crash.
+    // Preconditions: `now` never decreases between calls.
     std::vector<CrashObservation> observationsOf(uint64_t request, MonoTime now) const;
-    // The most telling observations, requests with the most crashes first. Preconditions: as above.
+    // Returns at most `most` observations: those of the requests with the most crashes first, then
+    // the latest crashes first. Preconditions: `now` never decreases between calls.
     std::vector<CrashObservation> observations(size_t most, MonoTime now) const;
 
-    // Forgets what is older than kRetentionMs. Preconditions: as above.
+    // Removes the requests whose last crash and answer are both at least kRetentionMs old.
+    // Preconditions: `now` never decreases between calls.
     void expire(MonoTime now);
 
 private:
     struct Record {
-        std::vector<CrashObservation> observations;  // By the time of the crash.
-        size_t crashCount = 0;                       // One after the other, among them.
+        std::vector<CrashObservation> observations;  // Ordered by the time of the crash.
+        size_t crashCount = 0;                       // Those one after the other.
         MonoTime lastCrash;
-        std::optional<MonoTime> answered;  // Crashes before prove nothing.
+        std::optional<MonoTime> answered;  // Crashes up to then do not count.
 
-        bool hasDelayedCrash = false;  // Some upstream did not crash at once.
-        bool hadTwoCrashes = false;    // It had two crashes at some time.
+        bool hasDelayedCrash = false;  // Some upstream did not crash immediately.
+        bool hadTwoCrashes = false;    // Two crashes counted at some time.
 
         bool add(const CrashObservation& observation, MonoTime now);
         void count();
@@ -102,7 +110,8 @@
     void rememberAnswer(uint64_t request, MonoTime at, MonoTime now);
     std::optional<MonoTime> answerOf(uint64_t request) const;
 
-    // Answers to requests without a record, in two ages: the older ones go together.
+    // Answers to requests without a record, in two generations; the older one is dropped as a
+    // whole.
     std::unordered_map<uint64_t, MonoTime> m_answers;
     std::unordered_map<uint64_t, MonoTime> m_olderAnswers;
     MonoTime m_answersSince;
--- a/include/health/UpstreamAvoidance.h
+++ b/include/health/UpstreamAvoidance.h
@@ -1,9 +1,11 @@
-// Decides which upstreams get no request from this box because they asked for that in an answer.
-// Unlike an ejection this holds also where it leaves no upstream at all, and no good answer ends
-// it: only its time, or another start of the upstream. One that leaves gets none for good.
+// Tracks which upstreams asked, in an answer, to get no requests from this box.
 //
-// Inputs: what answers said, for the incarnation that said it. Kept also while an upstream is not
-// listed, since entries lapse while the store is away.
+// Unlike an ejection, this holds even if no upstream is left at all, and a successful answer does
+// not end it: it ends only when its time is over or the upstream starts again. An upstream that
+// announced its shutdown gets no more requests in this incarnation.
+//
+// Inputs: what answers asked for, for the incarnation that sent them. Records are kept while an
+// upstream is not listed, because entries of the list expire while the store is unreachable.
 #pragma once
 
 #include "include/base/Time.h"
@@ -16,32 +18,36 @@
 
 namespace onyx {
 
-// Not thread safe: one task owns it.
+// Thread safety: none; one task owns it.
 class UpstreamAvoidance {
 public:
-    static constexpr size_t kMaxUpstreams = 4096;  // Remembered; beyond it the oldest go.
+    static constexpr size_t kMaxUpstreams =
+        4096;  // Beyond this many records the oldest is evicted.
 
-    // The upstream wants no requests until `until`; true if this is news.
-    // Preconditions: times do not fall.
+    // Records that the upstream asked for no requests until `until`. Returns whether a
+    // backoff begins, that is, none was in force. If several were asked for, the longest holds.
+    // Preconditions: `now` never decreases between calls.
     bool recordBackoff(const Incarnation& upstream, MonoTime until, MonoTime now);
 
-    // The upstream is about to end; true if this is news. Preconditions: as above.
+    // Records that the upstream is shutting down. Returns whether this was not recorded before.
+    // Preconditions: `now` never decreases between calls.
     bool recordLeaving(const Incarnation& upstream, MonoTime now);
 
-    // How long the upstream wants no requests, in milliseconds; nothing if it takes them.
-    // Preconditions: as above.
+    // Returns for how long the upstream gets no requests, in milliseconds, or nullopt if no backoff
+    // is in force. Preconditions: `now` never decreases between calls.
     std::optional<Millis> remainingBackoff(const Incarnation& upstream, MonoTime now) const;
 
-    // Whether the upstream is to get no request. Preconditions: as above.
+    // Returns whether no request may be sent to the upstream.
+    // Preconditions: `now` never decreases between calls.
     bool isAvoided(const Incarnation& upstream, MonoTime now) const {
         return isLeaving(upstream) || remainingBackoff(upstream, now).has_value();
     }
-    // Whether it said that it is about to end. Preconditions: none.
+    // Returns whether the upstream announced its shutdown. Preconditions: none.
     bool isLeaving(const Incarnation& upstream) const;
 
 private:
     struct Record {
-        int64_t startedMs = 0;  // Of the incarnation that asked.
+        int64_t startedMs = 0;  // Start of the incarnation that asked, Unix time in ms.
         MonoTime backoffUntil;
         bool leaving = false;
         MonoTime updatedAt;
@@ -51,7 +57,7 @@
     Record* findOrCreate(const Incarnation& upstream, MonoTime now);
     void evictOne();
 
-    std::unordered_map<std::string, Record> m_records;  // By id.
+    std::unordered_map<std::string, Record> m_records;  // By upstream id.
 };
 
 }  // namespace onyx
--- a/include/health/UpstreamHealth.h
+++ b/include/health/UpstreamHealth.h
@@ -1,9 +1,9 @@
-// Decides which upstreams are ejected for a while, from what attempts saw of them. Nothing is
-// probed: after a growing lastEjection an upstream gets requests again, and one good answer clears
-// it.
+// Decides which upstreams are ejected for a while, from the results of attempts. There are no
+// health probes: after an ejection an upstream gets requests again. Each further ejection is longer
+// than the one before, until a successful answer resets the duration.
 //
-// Inputs: the signs of attempts (AttemptHealthSignal) with the times at which they began and ended.
-// Ejected upstreams are passed over by ChooseUpstream as long as there is another one.
+// Inputs: the health signals of attempts (AttemptHealthSignal) with the times at which the attempts
+// began and ended. ChooseUpstream skips ejected upstreams as long as there is another one.
 #pragma once
 
 #include "include/base/Time.h"
@@ -13,41 +13,47 @@
 
 namespace onyx {
 
-// What an attempt saw of its upstream.
+// What the result of an attempt shows about the health of its upstream.
 enum class HealthSignal : uint8_t {
-    kAnswered,     // A whole answer that is not a failure.
-    kFailed,       // A whole answer that is a failure of the upstream.
-    kUnreachable,  // It refused the connection, or did not take it in time.
-    kSilent,       // It took a request and gave no answer in time, or broke off.
+    kAnswered,     // A complete answer that is not a failure.
+    kFailed,       // A complete answer that is a failure of the upstream.
+    kUnreachable,  // It refused the connection, or did not accept it in time.
+    kSilent,       // It took a request, but did not answer in time or broke off.
 };
 
 // All times in milliseconds.
 struct HealthSettings {
-    // The first lastEjection and the longest; each is twice the one before.
+    // Duration of the first ejection and the longest one; each is twice as long as the one before.
     Millis firstEjection = 1000;
     Millis maxEjection = 8000;
-    Millis decayTime = 5000;       // Answers older than this decay out of the failure share.
-    double maxFailureShare = 0.4;  // Above this share of failures an upstream is ejected: some that
-                                   // fail half of what they run are worse than the others,
-    double minFailures =
-        4.0;  // once it has shown about so many, so that one failure proves nothing.
-    int minConsecutiveSilent = 2;  // Silent answers in a row that have the same effect.
+    // Time constant of the exponential decay of the counts of answers and failures.
+    Millis decayTime = 5000;
+    // An upstream is ejected if more than this share of its answers are failures: one that fails
+    // half of its requests is worse than the others.
+    double maxFailureShare = 0.4;
+    // The share counts only from about this many failures on, so that a single failure does not
+    // eject an upstream.
+    double minFailures = 4.0;
+    // Silent attempts in a row that eject an upstream whatever the share of failures.
+    int minConsecutiveSilent = 2;
 };
 
-// Not thread safe: one task owns it.
+// Thread safety: none; one task owns it.
 class UpstreamHealth {
 public:
     explicit UpstreamHealth(const HealthSettings& settings) : m_settings(settings) {}
 
-    // Takes in what an attempt saw that began at `sent`; true if the upstream is ejected from
-    // now on. Silence proves nothing while the upstream answered others since.
-    // Preconditions: sent <= now, which does not fall.
+    // Records the signal of an attempt that began at `sent` and ended at `now`. Returns whether the
+    // upstream is ejected from now on. A silent attempt is ignored if the upstream has answered
+    // another one since `sent`.
+    // Preconditions: sent <= now; `now` never decreases between calls.
     bool note(const std::string& upstream, HealthSignal sign, MonoTime sent, MonoTime now);
 
-    // Whether the upstream gets no work at `now`. Preconditions: as above.
+    // Returns whether the upstream is ejected at `now`.
+    // Preconditions: `now` never decreases between calls.
     bool isEjected(const std::string& upstream, MonoTime now) const;
 
-    // Forgets an upstream that is gone. Preconditions: none.
+    // Removes the record of an upstream that no longer exists. Preconditions: none.
     void forget(const std::string& upstream) { m_records.erase(upstream); }
 
 private:
