--- a/include/health/ZoneEvacuations.h
+++ b/include/health/ZoneEvacuations.h
@@ -40,8 +40,8 @@
     // ended. A revision lower than the current one is ignored, unless `acceptLowerRevision` is set
     // because the store was restored.
     // Preconditions: `now` never decreases between calls.
-    EvacuationChanges apply(const EvacuationChanges& changes, bool acceptLowerRevision,
-                            MonoTime now);
+    EvacuationChanges applyChanges(const EvacuationChanges& changes, bool acceptLowerRevision,
+                                   MonoTime now);
 
     // Returns whether no request may be sent to the zone's upstreams. `listAge`: age of the
     // upstream list in milliseconds; nullopt: there is no list yet.
--- a/src/gateway/EvacuationList.cpp
+++ b/src/gateway/EvacuationList.cpp
@@ -6,7 +6,7 @@
 
 void EvacuationList::apply(const EvacuationChanges& changes, bool acceptLowerRevision,
                            std::string_view source, MonoTime now) {
-    const EvacuationChanges news = m_orders.apply(changes, acceptLowerRevision, now);
+    const EvacuationChanges news = m_orders.applyChanges(changes, acceptLowerRevision, now);
     const auto log = [&](const std::string& zone, const char* state) {
         logEvent(Event::kZoneEvacuated, {{"zone", zone},
                                          {"state", state},
--- a/src/health/ZoneEvacuations.cpp
+++ b/src/health/ZoneEvacuations.cpp
@@ -2,8 +2,8 @@
 
 namespace onyx {
 
-EvacuationChanges ZoneEvacuations::apply(const EvacuationChanges& changes, bool acceptLowerRevision,
-                                         MonoTime now) {
+EvacuationChanges ZoneEvacuations::applyChanges(const EvacuationChanges& changes,
+                                                bool acceptLowerRevision, MonoTime now) {
     EvacuationChanges news;
     news.revision = changes.revision;
     if (changes.revision < m_revision && !acceptLowerRevision) {
--- a/tests/ZoneEvacuationsTest.cpp
+++ b/tests/ZoneEvacuationsTest.cpp
@@ -20,10 +20,10 @@
 TEST_CASE("A zone is evacuated from its order on until the order is gone") {
     ZoneEvacuations orders;
     CHECK_FALSE(orders.isEvacuated(kZone, 0, {0}));
-    CHECK(orders.apply({false, 2, {"near"}, {}}, false, {0}).begun.size() == 1);
+    CHECK(orders.applyChanges({false, 2, {"near"}, {}}, false, {0}).begun.size() == 1);
     CHECK(orders.isEvacuated(kZone, 0, {60000}));
     CHECK_FALSE(orders.isEvacuated(ZoneId("far"), 0, {60000}));
-    CHECK(orders.apply({false, 3, {}, {"near"}}, false, {70000}).ended.size() == 1);
+    CHECK(orders.applyChanges({false, 3, {}, {"near"}}, false, {70000}).ended.size() == 1);
     CHECK_FALSE(orders.isEvacuated(kZone, 0, {70001}));
 }
 
@@ -31,8 +31,8 @@
 // that does not know it yet.
 TEST_CASE("A zone that is taken back waits for a list of upstreams from after that") {
     ZoneEvacuations orders;
-    orders.apply(Whole(2, {"near"}), false, {0});
-    orders.apply(Whole(3, {}), false, {10000});
+    orders.applyChanges(Whole(2, {"near"}), false, {0});
+    orders.applyChanges(Whole(3, {}), false, {10000});
     CHECK(orders.isEvacuated(kZone, 700, {10500}));
     CHECK_FALSE(orders.isEvacuated(kZone, 400, {10500}));
     CHECK(orders.isEvacuated(kZone, std::nullopt, {10500}));
@@ -41,10 +41,10 @@
 
 TEST_CASE("Who knows less changes nothing, but a store that was restored does") {
     ZoneEvacuations orders;
-    orders.apply(Whole(5, {"near"}), false, {0});
-    orders.apply(Whole(4, {}), false, {100});
+    orders.applyChanges(Whole(5, {"near"}), false, {0});
+    orders.applyChanges(Whole(4, {}), false, {100});
     CHECK(orders.isEvacuated(kZone, 0, {200}));
-    orders.apply(Whole(4, {}), true, {300});
+    orders.applyChanges(Whole(4, {}), true, {300});
     CHECK(orders.zones().empty());
     CHECK(orders.revision() == 4);
 }
@@ -69,7 +69,7 @@
         ZoneEvacuations orders;
         std::shuffle(history.begin(), history.end(), random);
         for (const EvacuationChanges& told : history) {
-            orders.apply(told, false, {static_cast<Millis>(run)});
+            orders.applyChanges(told, false, {static_cast<Millis>(run)});
         }
         CHECK(orders.zones() == std::set<std::string>(stand.begin(), stand.end()));
     }
