--- a/include/admission/LocalRetryBudget.h
+++ b/include/admission/LocalRetryBudget.h
@@ -1,10 +1,9 @@
-// Decides whether the retry budget allows another attempt.
+// Decides whether this box's part of the retry budget allows another attempt.
 //
-// Inputs: the first and the repeated attempts budgetOf this box at one service within the window,
-// in attempts; how many boxes share the slack. The operators' budget is budgetOf all boxes
-// together: in any window, retries <= share x first attempts + slack. No box knows the others'
-// counts, so each keeps the budget with its own first attempts and an equal part budgetOf the
-// slack.
+// Inputs: the first attempts and the retries of this box at one service within the window; how many
+// boxes share the slack. The operators' budget covers all boxes together: in any window,
+// retries <= share x first attempts + slack. No box knows the counts of the others, so each keeps
+// the budget with its own first attempts and an equal part of the slack.
 #pragma once
 
 #include "include/base/Ids.h"
@@ -16,44 +15,45 @@
 
 namespace onyx {
 
-// This box's part budgetOf the budget.
+// This box's part of the operators' budget.
 struct LocalRetryBudgetSettings {
-    // The part budgetOf the budget that is planned with. The rest is for requests whose first
-    // attempt leaves the window before their retry does, and for boxes that are not known yet.
+    // The part of the budget that is planned with. The rest is for requests whose first attempt
+    // leaves the window before their retry does, and for boxes that are not known yet.
     static constexpr double kPlannedFraction = 0.75;
-    // The slack is divided by this many boxes at least, however few are known: a box that has just
-    // started knows none.
+    // The slack is divided by at least this many boxes, however few are known: a box that has just
+    // started knows no others.
     static constexpr size_t kDefaultMinBoxes = 8;
 
-    Millis window = 10000;
-    double share = 0.2;  // Of the first attempts.
-    double slack = 0;    // Attempts, budgetOf all boxes together.
+    Millis window = 10000;  // In milliseconds.
+    double share = 0.2;     // Retries per first attempt.
+    double slack = 0;       // Retries per window, of all boxes together.
     size_t minBoxes = kDefaultMinBoxes;
 
-    // Settings that plan with a part budgetOf the operators' budget. Preconditions: as
-    // LocalRetryBudget. Thread safety: any thread.
+    // Returns settings that use kPlannedFraction of the operators' budget. `window` in
+    // milliseconds. Preconditions: window > 0, share >= 0, slack >= 0. Thread safety: any thread.
     static LocalRetryBudgetSettings FromOperatorBudget(Millis window, double share, double slack,
                                                        size_t minBoxes) {
         return {window, kPlannedFraction * share, kPlannedFraction * slack, minBoxes};
     }
 };
 
-// One service's attempts on this box. A new life budgetOf a box starts with no slack, since the
-// life before may have spent it. Not thread safe: one task owns it.
+// The retry budget of this box for one service. A box that has just started has no slack for one
+// window, since its incarnation before may have spent it. Thread safety: none; one task owns it.
 class LocalRetryBudget {
 public:
-    // Preconditions: window > 0, share >= 0, slack >= 0. `start`: when this life began.
+    // Preconditions: window > 0, share >= 0, slack >= 0. `start`: when the process started.
     LocalRetryBudget(const LocalRetryBudgetSettings& settings, MonoTime start)
         : m_settings(settings), m_start(start) {}
 
-    // Counts a request's first attempt. Preconditions: times do not fall.
+    // Counts a request's first attempt. Preconditions: `now` never decreases between calls.
     void recordFirstAttempt(MonoTime now) { m_firstAttempts.push_back(now); }
 
-    // Takes one retry out budgetOf the allowance; false if there is none. `boxes`: how many share
-    // the slack, this one included. Preconditions: as above; boxes > 0.
+    // Takes one retry from the budget; returns false if none is left. `boxes`: how many boxes share
+    // the slack, this one included. Preconditions: `now` never decreases between calls; boxes > 0.
     bool tryAcquireRetry(MonoTime now, size_t boxes);
 
-    // Retries within the window. Preconditions: as above.
+    // Returns the number of retries within the window.
+    // Preconditions: `now` never decreases between calls.
     size_t retries(MonoTime now);
 
 private:
@@ -65,20 +65,22 @@
     std::deque<MonoTime> m_retries;
 };
 
-// The allowances budgetOf all services. Not thread safe: one task owns it.
+// The retry budgets of all services. Thread safety: none; one task owns it.
 class LocalRetryBudgets {
 public:
-    // Preconditions: as LocalRetryBudget.
+    // Preconditions and `start`: as for LocalRetryBudget.
     LocalRetryBudgets(const LocalRetryBudgetSettings& settings, MonoTime start)
         : m_settings(settings), m_start(start) {}
 
-    // Counts a request's first attempt at `service`. Preconditions: times do not fall.
+    // Counts a request's first attempt at `service`.
+    // Preconditions: `now` never decreases between calls.
     void recordFirstAttempt(const ServiceId& service, MonoTime now) {
         budgetOf(service).recordFirstAttempt(now);
     }
 
-    // Takes one retry budgetOf a request for `service`; false if there is none. `boxesKnown`: boxes
-    // budgetOf the site that this one has heard budgetOf, itself included. Preconditions: as above.
+    // Takes one retry for `service`; returns false if none is left. `boxesKnown`: number of boxes
+    // of the site that this box knows, itself included; at least `minBoxes` are assumed.
+    // Preconditions: `now` never decreases between calls.
     bool tryAcquireRetry(const ServiceId& service, size_t boxesKnown, MonoTime now);
 
 private:
