--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -1,13 +1,15 @@
-// Decides whether a request is admitted: which route, service and team it is for and until when it
-// is held, or why it is refused.
+// Decides whether a request is admitted, and if so for which route, service and team and with which
+// deadline, or why it is refused.
 //
-// Inputs: the request's head; the configuration in force and its age in milliseconds; whether the
-// upstreams were listed once; whether this box still takes requests. Asked when a request arrives
-// and again before each further attempt, so that none is sent by what is no longer in force.
+// Inputs: the head of the request; the current configuration and its age in milliseconds; whether
+// this box has received an upstream list; whether this box still accepts requests. The decision is
+// made when a request arrives and again before each further attempt, so that no attempt is sent
+// under a configuration that is no longer in force.
 //
-// The rule: only a box that knows may say that a route or a credential does not exist. One that
-// knows too little, or whose configuration is too old by the StalenessPolicy, refuses with 503.
-// Routes that need no credential are served on a configuration of any age.
+// Only a box with a fresh configuration may answer that a route or a credential does not exist. A
+// box that lacks configuration or upstreams, or whose configuration is too old by the
+// StalenessPolicy, refuses with 503. Routes that need no credential are served with a configuration
+// of any age.
 #pragma once
 
 #include "include/admission/Refusal.h"
@@ -27,49 +29,50 @@
     Millis freshLimit = 3600;  // Up to this age a configuration is fresh; see FreshLimit().
 };
 
-// What a box knows, as far as admission depends on it.
+// The state of a box that admission depends on.
 struct AdmissionState {
-    bool refusing = false;                   // This box is about to end.
-    std::shared_ptr<const Catalog> catalog;  // Null until one is known.
-    std::optional<Millis> catalogAge;
-    bool upstreamsListed = false;
+    bool refusing = false;                   // This box accepts no new requests.
+    std::shared_ptr<const Catalog> catalog;  // Null until there is a configuration.
+    std::optional<Millis> catalogAge;        // In milliseconds; nullopt until there is one.
+    bool upstreamsListed = false;            // An upstream list has been received.
 };
 
-// One request as far as admission depends on it.
+// The parts of a request that admission depends on.
 struct AdmissionRequest {
     std::string_view host;
     std::string_view target;
-    std::string_view credential;          // Stands for the team; empty if there is none.
-    std::optional<Millis> clientTimeout;  // How long the caller waits.
+    std::string_view credential;          // Identifies the team; empty if there is none.
+    std::optional<Millis> clientTimeout;  // How long the caller waits, in ms.
     MonoTime arrived;
-    uint64_t draw = 0;  // A random number: which of a route's weighted services it is for.
+    uint64_t draw = 0;  // Random number that picks one of the route's weighted services.
 };
 
-// What an admitted request is for, by one catalog. The route and the spec are parts of the catalog,
-// so they are replaced only together.
+// The route, service and team of an admitted request, all from one catalog. `route`, `spec` and
+// `teamAllowedRegions` point into the catalog, so they may only be replaced together with it.
 struct Admission {
     std::shared_ptr<const Catalog> catalog;
     const Route* route = nullptr;
     ServiceId service;
-    const ServiceSpec* spec = nullptr;  // Of the service; null if the catalog does not tell.
+    const ServiceSpec* spec = nullptr;  // Of the service; null if not in the catalog.
     TeamId team;
-    const AllowedRegions* teamAllowedRegions =
-        nullptr;         // Part of the catalog; null: the team has none.
+    // Null: the team has none.
+    const AllowedRegions* teamAllowedRegions = nullptr;
     int priority = 5;    // 0 is the most urgent.
-    bool stale = false;  // The catalog is older than is fresh.
-    MonoTime deadline;   // The caller's, or the route's timeout if that is earlier.
+    bool stale = false;  // The catalog is older than the fresh limit.
+    MonoTime deadline;   // The earlier of the caller's deadline and the route's timeout.
 };
 
 // Admits or refuses a request. Preconditions: none. Thread safety: any thread.
 std::variant<Admission, Refusal> Admit(const AdmissionRules& rules, const AdmissionState& state,
                                        const AdmissionRequest& request);
 
-// Whether an admitted request may still be sent on a configuration of `catalogAge`: time went by
-// while its connection opened. Preconditions: none. Thread safety: any thread.
+// Returns whether an admitted request may still be sent with a configuration of age `catalogAge`,
+// in milliseconds: the configuration may have become too old while the connection was opened.
+// Preconditions: none. Thread safety: any thread.
 bool MaySend(const AdmissionRules& rules, const Route& route, std::optional<Millis> catalogAge);
 
-// Whether a box that knows this admits requests with a credential: it may call itself ready.
-// Preconditions: none. Thread safety: any thread.
+// Returns whether a box in this state admits requests that need a credential, and so may report
+// itself ready. Preconditions: none. Thread safety: any thread.
 bool CanAdmit(const AdmissionRules& rules, const AdmissionState& state);
 
 }  // namespace onyx
--- a/include/admission/Refusal.h
+++ b/include/admission/Refusal.h
@@ -1,8 +1,8 @@
-// Decides how a box answers a request that it does not serve: with which status, which words, and
-// when its caller may retry. All such answers come from here.
+// Defines how a box answers a request that it does not serve: the status, the text, and when the
+// caller may retry. All such answers are made here.
 //
-// A refusal with a Retry-After promises that the request has not run. Nothing is held back in the
-// hope of an upstream: what cannot be served now is refused now.
+// A refusal with a Retry-After guarantees that the request has not run. No request is queued until
+// an upstream becomes available: one that cannot be served now is refused now.
 #pragma once
 
 #include "include/base/Time.h"
@@ -14,47 +14,47 @@
 
 namespace onyx {
 
-// Why a box answers a request by itself.
+// Why a box answers a request itself.
 enum class RefusalReason : uint8_t {
-    kBadHead,               // A header of the request cannot be read.
-    kNoRequestId,           // It has no id, so its answers could not be told apart.
-    kDraining,              // This box is about to end.
-    kNoConfiguration,       // This box has just started and knows too little yet.
+    kBadHead,               // A header of the request cannot be parsed.
+    kNoRequestId,           // It has no id, so its answers could not be distinguished.
+    kDraining,              // This box is shutting down.
+    kNoConfiguration,       // This box has just started and lacks configuration or upstreams.
     kConfigurationTooOld,   // See StalenessPolicy.
-    kRouteUnknownYet,       // No such route, but the configuration is stale: it may exist by now.
-    kCredentialUnknownYet,  // The same for the credential.
+    kRouteUnknownYet,       // No such route, but the configuration is stale: it may be new.
+    kCredentialUnknownYet,  // No such credential, but it may be new as well.
     kNoRoute,               // The route does not exist.
-    kUnknownCredential,     // The credential stands for no team.
-    kQuarantined,           // Upstreams crashed while they ran it: see RequestQuarantine.
-    kNoUpstream,            // No upstream took the request, and none ran it.
-    kTimedOut,              // The last attempt ran out of time; the request may have run.
+    kUnknownCredential,     // The credential belongs to no team.
+    kQuarantined,           // Upstreams crashed while running it, see RequestQuarantine.
+    kNoUpstream,            // No upstream accepted the request, and none ran it.
+    kTimedOut,              // The last attempt timed out; the request may have run.
     kUnclear,               // The last attempt ended in another way; the request may have run.
 };
 
-// An answer of this box's own.
+// An answer that this box gives itself.
 struct Refusal {
     RefusalReason reason = RefusalReason::kNoUpstream;
     unsigned status = 503;             // HTTP status.
     std::string text;                  // For callers, logs and metrics.
-    std::optional<Millis> retryAfter;  // Milliseconds; nothing where a retry would not help, or
-                                       // where the request may have run.
+    std::optional<Millis> retryAfter;  // In milliseconds; nullopt if a retry would not help, or
+                                       // if the request may have run.
 };
 
-// Times after which callers may retry, in milliseconds. A caller that comes back to a fleet with a
-// fault should find it mended, or another box, and not be kept waiting for longer than most faults
-// last.
+// Times after which callers may retry, in milliseconds. They are chosen so that a retry finds the
+// fault repaired or reaches another box, but does not wait for longer than most faults last.
 //
-// The balancer already sends to the other boxes.
+// 0, because the load balancer already sends requests to the other boxes.
 inline constexpr Millis kRetryAfterDrainingMs = 0;
-// Other upstreams, or the same ones with less load, are there after a round of answers.
+// Other upstreams, or the same ones under less load, are available once the answers in progress are
+// complete.
 inline constexpr Millis kRetryAfterNoUpstreamMs = 200;
-// A box learns a configuration from the store or from a peer within about this time.
+// A box gets a configuration from the store or from a peer within about this time.
 inline constexpr Millis kRetryAfterNoConfigurationMs = 500;
-// At most; a caller is told what is left of the quarantine.
+// Upper bound; the caller gets the remaining time of the quarantine.
 inline constexpr Millis kRetryAfterQuarantinedMs = RequestQuarantine::kRetentionMs;
 
-// The refusal for `reason`. `detail`: the words of kBadHead, which name the header; the others have
-// their own. Preconditions: none. Thread safety: any thread.
+// Returns the refusal for `reason`. `detail`: the text of kBadHead, which names the header; the
+// other reasons have fixed texts. Preconditions: none. Thread safety: any thread.
 Refusal MakeRefusal(RefusalReason reason, std::string detail = {});
 
 }  // namespace onyx
--- a/include/lifecycle/Drain.h
+++ b/include/lifecycle/Drain.h
@@ -1,10 +1,11 @@
-// Decides how a planned stop goes: until when new requests are taken, when they are refused, and
-// when the process may end.
+// Decides how a planned stop proceeds: until when new requests are accepted, when they are refused,
+// and when the process may exit.
 //
-// Inputs: the grace that the platform gives from the stop signal on, in milliseconds; the requests
-// under way. The balancer lets go of a box after two questions without a good answer, one a second,
-// and callers keep their connections; so a box goes on taking requests for a while, then refuses
-// them with a Retry-After of 0, and ends as soon as nothing is under way, or at its limit.
+// Inputs: the grace period that the platform gives from the stop signal on, in milliseconds; the
+// number of active requests. The load balancer probes a box once a second and removes it after two
+// failed probes, and callers keep their connections open. So a box continues to accept requests for
+// a while, then refuses them with a Retry-After of 0, and exits as soon as no request is active, or
+// at its limit.
 #pragma once
 
 #include "include/base/Time.h"
@@ -14,46 +15,50 @@
 
 namespace onyx {
 
-// All times in milliseconds, from the stop signal on.
+// All times in milliseconds since the stop signal.
 struct DrainSettings {
-    Millis accept = 2500;  // New requests are still taken.
-    Millis limit = 7500;   // The process ends at the latest.
+    Millis accept = 2500;  // New requests are accepted until then.
+    Millis limit = 7500;   // The process exits by then, even with active requests.
 
-    // How long new requests are taken of a stop with this grace: two questions of the balancer and
-    // a half, or a third of a short grace. Preconditions: grace > 0. Thread safety: any thread.
+    // Returns how long new requests are accepted, in milliseconds, in a stop with a grace period of
+    // `grace` milliseconds: two and a half probe intervals of the load balancer, or a third of a
+    // short grace period. Preconditions: grace > 0. Thread safety: any thread.
     static Millis DefaultAccept(Millis grace);
-    // The limit for this grace; the rest of it is for writing the last answers and logs.
-    // Preconditions: grace > 0. Thread safety: any thread.
+    // Returns the limit for a grace period of `grace` milliseconds; the rest of the grace period is
+    // for writing the last answers and logs. Preconditions: grace > 0. Thread safety: any thread.
     static Millis DefaultLimit(Millis grace);
 };
 
-// How far a box's life has come.
+// The phase of a box between its start and its exit.
 enum class LifecyclePhase : uint8_t {
     kServing,
-    kDraining,  // Not ready any more; new requests are still taken.
-    kRefusing,  // New requests are refused, those under way are answered.
+    kDraining,  // Not ready any more; new requests are still accepted.
+    kRefusing,  // New requests are refused, active ones are answered.
 };
 
-// Not thread safe: one task owns it.
+// The lifecycle phase of this box and its number of active requests.
+// Thread safety: none; one task owns it.
 class Lifecycle {
 public:
-    // A planned stop begins, or its time for new requests is over. Preconditions: a phase follows
-    // the one before it.
+    // Enter the next phase: a planned stop begins, or its time for accepting requests is over.
+    // Preconditions: the phases are entered in the order of LifecyclePhase.
     void startDraining() { m_phase = LifecyclePhase::kDraining; }
     void startRefusing() { m_phase = LifecyclePhase::kRefusing; }
 
-    // Whether a planned stop has begun: answers close their connections. Preconditions: none.
+    // Returns whether a planned stop has begun; answers then close their connections.
+    // Preconditions: none.
     bool draining() const { return m_phase != LifecyclePhase::kServing; }
-    // Whether new requests are refused. Preconditions: none.
+    // Returns whether new requests are refused. Preconditions: none.
     bool refusing() const { return m_phase == LifecyclePhase::kRefusing; }
 
-    // Count a request in and out. Preconditions: each that began ends once.
+    // Count the active requests. Preconditions: one end is recorded for each start.
     void recordRequestStart() { ++m_activeRequests; }
     void recordRequestEnd() { --m_activeRequests; }
-    // Requests under way. Preconditions: none.
+    // Returns the number of active requests. Preconditions: none.
     size_t activeRequests() const { return m_activeRequests; }
 
-    // Whether the process may end, `sinceSignal` after the stop signal. Preconditions: none.
+    // Returns whether the process may exit, `sinceSignal` milliseconds after the stop signal.
+    // Preconditions: none.
     bool canExit(const DrainSettings& settings, Millis sinceSignal) const {
         return m_activeRequests == 0 || sinceSignal >= settings.limit;
     }
