--- a/include/base/Error.h
+++ b/include/base/Error.h
@@ -1,7 +1,8 @@
-// Module base: the values that all modules share (errors, ids, times, the hash). It owns no state
-// and relies on nothing of the project.
+// Module base: the values shared by all modules (errors, ids, times, the hash). Has no state and
+// depends on no other module of the project.
 //
-// The project's error value. Every error says at which step it arose and which peer was involved.
+// The error value of the project. Each error names the step at which it arose and the peer
+// involved.
 #pragma once
 
 #include <string>
@@ -9,18 +10,18 @@
 
 namespace onyx {
 
-// What kind of failure an Error stands for. Callers branch on this, people read the message.
+// The kind of an Error. Callers branch on the code; the message is for people.
 enum class ErrorCode {
     kBadInput,     // The input is malformed or names something unknown.
-    kConflict,     // A conditional update lost: the object has another version.
+    kConflict,     // A conditional update failed: the object has another version.
     kNotFound,     // The object does not exist.
-    kUnavailable,  // The peer could not be reached, or refused for now.
-    kTimeout,      // The deadline passed first.
-    kUnknown,      // The effect of the call is not known: it may or may not have happened.
-    kProtocol,     // The peer broke the protocol.
+    kUnavailable,  // The peer could not be reached, or refused temporarily.
+    kTimeout,      // The deadline passed before the call completed.
+    kUnknown,      // The call may or may not have taken effect.
+    kProtocol,     // The peer violated the protocol.
 };
 
-// Returns the name of `code` as it stands in logs and answers.
+// Returns the name of `code` as written in logs and answers.
 // Thread safety: any thread.
 constexpr std::string_view ErrorCodeName(ErrorCode code) {
     switch (code) {
@@ -42,12 +43,12 @@
     return "invalid";
 }
 
-// An error as a value.
+// A failure of one step, as a value.
 struct Error {
     ErrorCode code = ErrorCode::kUnavailable;
-    std::string step;     // What was being done, such as "platform.put".
-    std::string peer;     // With whom: an address, a file, or empty for this process.
-    std::string message;  // For people.
+    std::string step;     // The operation that failed, such as "platform.put".
+    std::string peer;     // The other side: an address, a file, or empty for this process.
+    std::string message;  // For people, in addition to the code.
 
     // Returns "step peer: code: message".
     // Thread safety: any thread, on a value that no other thread changes.
--- a/include/base/Hash.h
+++ b/include/base/Hash.h
@@ -1,5 +1,6 @@
-// The one hash of the project (xxHash, XXH3 64 bit). Its results are part of the protocol: two
-// boxes must order upstreams and boxes alike, so it may not change between releases.
+// The only hash function of the project (xxHash, XXH3 64 bit). Its results are part of the
+// protocol: all boxes must order upstreams and boxes in the same way, so it must not change between
+// releases.
 #pragma once
 
 #include <cstddef>
@@ -11,22 +12,24 @@
 
 namespace onyx {
 
-// Hashes `text`. Thread safety: any thread.
+// Returns the hash of `text`. Thread safety: any thread.
 uint64_t HashText(std::string_view text);
 
-// Low half of `name`'s hash: stands for the name of an upstream or of a prompt's part in digests,
-// where a whole name would cost too much. Thread safety: any thread.
+// Returns the lower 32 bits of the hash of `name`. Digests use it in place of the name of an
+// upstream or of a part of a prompt, since whole names would be too large. Thread safety: any
+// thread.
 uint32_t ShortHash(std::string_view name);
 
-// Combines two hashes; not symmetric. Thread safety: any thread.
+// Returns a combined hash of `a` and `b`; their order matters. Thread safety: any thread.
 uint64_t HashPair(uint64_t a, uint64_t b);
 
-// Rendezvous score of `candidate` for `key`; the highest wins. Thread safety: any thread.
+// Returns the rendezvous hashing score of `candidate` for `keyHash`; the candidate with the highest
+// score wins. Thread safety: any thread.
 uint64_t RendezvousScore(uint64_t keyHash, std::string_view candidate);
 
-// Index below `count` with the highest rendezvous score for `keyHash`, of those for which
-// `allowed(i)` holds; nothing if it holds for none. `idOf(i)` is the candidate's id. The order of
-// the candidates does not matter; ties go to the smaller id. Thread safety: any thread.
+// Returns the index below `count` with the highest rendezvous score for `keyHash` among those for
+// which `allowed(i)` holds, or nullopt if it holds for none. `idOf(i)`: id of candidate `i`. The
+// order of the candidates does not matter; ties go to the smaller id. Thread safety: any thread.
 template <class IdOf, class Allowed>
 std::optional<size_t> BestByRendezvous(uint64_t keyHash, size_t count, IdOf idOf, Allowed allowed) {
     std::optional<size_t> best;
@@ -46,8 +49,8 @@
     return best;
 }
 
-// Index of the candidate with the highest score for `key`, or -1 for an empty list. Thread safety:
-// any thread.
+// Returns the index of the candidate with the highest rendezvous score for `key`, or -1 if there
+// are no candidates. Thread safety: any thread.
 template <class IdType>
 int RendezvousWinner(std::string_view key, std::span<const IdType> candidates) {
     const auto best = BestByRendezvous(
--- a/include/base/HttpStatus.h
+++ b/include/base/HttpStatus.h
@@ -1,12 +1,12 @@
-// The HTTP statuses that this project gives or looks for, by name.
+// Names for the HTTP status codes that this project sends or checks for.
 #pragma once
 
 namespace onyx {
 
-// Numbers as on the wire.
+// Status codes as sent on the wire, and the first codes of ranges.
 struct HttpStatus {
     static constexpr unsigned kOk = 200;
-    static constexpr unsigned kFirstFinal = 200;  // Lower ones announce that another head follows.
+    static constexpr unsigned kFirstFinal = 200;  // Lower codes are interim: another head follows.
     static constexpr unsigned kFirstRedirect = 300;
     static constexpr unsigned kBadRequest = 400;
     static constexpr unsigned kUnauthorized = 401;
--- a/include/base/Ids.h
+++ b/include/base/Ids.h
@@ -1,5 +1,5 @@
-// Names of the things that the decisions speak of. Plain strings with a type each, so that a box
-// cannot be passed where an engine is meant.
+// Identifier types for the entities that decisions refer to. Each is a plain string with its own
+// type, so that a box cannot be passed where an engine is expected.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace onyx {
 
-// A string that is the name of one kind of thing. `Tag` only tells kinds apart.
+// A string that identifies an entity of one kind. `Tag` only distinguishes the kinds.
 template <class Tag>
 struct Id {
     std::string value;
@@ -27,9 +27,9 @@
 using EngineId = Id<struct EngineTag>;    // One model replica.
 using ZoneId = Id<struct ZoneTag>;        // An availability zone.
 using TeamId = Id<struct TeamTag>;        // A customer of the operator.
-using ServiceId = Id<struct ServiceTag>;  // What callers address: a model or a plain service.
-using ChatId = Id<struct ChatTag>;        // A returning chat.
-// One life of a box, "name#incarnation". A box that restarts is another member.
+using ServiceId = Id<struct ServiceTag>;  // Addressed by callers: a model or a plain service.
+using ChatId = Id<struct ChatTag>;        // A chat with several requests.
+// One incarnation of a box, "name#incarnation". A box that restarts is another member.
 using MemberId = Id<struct MemberTag>;
 
 }  // namespace onyx
--- a/include/base/Result.h
+++ b/include/base/Result.h
@@ -1,4 +1,5 @@
-// Result<T>: a value or an Error, by Boost.Outcome. Reading the wrong side terminates.
+// Result<T>: a value or an Error, based on Boost.Outcome. Access to the side that is not set
+// terminates the process.
 #pragma once
 
 #include "include/base/Error.h"
--- a/include/base/Time.h
+++ b/include/base/Time.h
@@ -1,4 +1,5 @@
-// Time as the decisions see it. The decision modules own no clock: every event carries its time.
+// Time types for the decision modules. These modules read no clock: the time is passed with each
+// event.
 #pragma once
 
 #include <compare>
@@ -6,11 +7,11 @@
 
 namespace onyx {
 
-// Milliseconds. A span, never a point in time.
+// A duration in milliseconds, never a point in time.
 using Millis = int64_t;
 
-// A point on a box's monotonic clock, which counts suspensions. Comparable only with points of the
-// same box.
+// A point in time on a box's monotonic clock, which also advances during suspension. Comparable
+// only with points of the same box.
 struct MonoTime {
     Millis ms = 0;
 
@@ -20,8 +21,8 @@
     friend Millis operator-(MonoTime a, MonoTime b) { return a.ms - b.ms; }
 };
 
-// A point on the wall clock (milliseconds since the Unix epoch). Boxes and callers agree on it
-// only up to the configured skew limit.
+// A point in time on the wall clock, in milliseconds since the Unix epoch. The clocks of boxes and
+// callers may differ by up to the configured skew limit.
 struct WallTime {
     Millis ms = 0;
 
@@ -31,7 +32,7 @@
     friend Millis operator-(WallTime a, WallTime b) { return a.ms - b.ms; }
 };
 
-// The two clocks of one box, read together.
+// The two clocks of one box, read at the same time.
 struct Now {
     MonoTime mono;
     WallTime wall;
