--- a/include/base/Ids.h
+++ b/include/base/Ids.h
@@ -28,7 +28,7 @@
 using ZoneId = Id<struct ZoneTag>;        // An availability zone.
 using TeamId = Id<struct TeamTag>;        // A customer of the operator.
 using ServiceId = Id<struct ServiceTag>;  // Addressed by callers: a model or a plain service.
-using ChatId = Id<struct ChatTag>;        // A chat with several requests.
+using ChatId = Id<struct ChatTag>;        // A chat whose caller returns with further requests.
 // One incarnation of a box, "name#incarnation". A box that restarts is another member.
 using MemberId = Id<struct MemberTag>;
 
--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -91,7 +91,7 @@
         std::optional<MonoTime> m_earnedAt;
     };
 
-    bool isSuspect(uint64_t request) const { return m_quarantine.crashes(request) > 1; }
+    bool isSuspect(uint64_t request) const { return m_quarantine.crashCount(request) > 1; }
     bool learn(const CrashObservation& observation, Origin origin, MonoTime now);
     void learnAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now);
     void tellAll(uint64_t request, int rounds, MonoTime now);
