--- a/tests/CrashExchangeTest.cpp
+++ b/tests/CrashExchangeTest.cpp
@@ -398,5 +398,5 @@
     reports.crashes.emplace_back(kCrashing, 1, 1, 4294967295U, 4294967295U);
     reports.answered.emplace_back(kCrashing, 4294967295U);
     CHECK(site.box(1).exchange.take("10.0.0.0:1", reports, site.now()).empty());
-    CHECK(site.box(1).quarantine.crashes(kCrashing) == 0);
+    CHECK(site.box(1).quarantine.crashCount(kCrashing) == 0);
 }
