--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -10,7 +10,8 @@
     return JudgeStaleness(rules.staleness, rules.freshLimit, catalogAge);
 }
 
-// Finds the team of the request's credential, and its priority; or why there is none.
+// Sets the team of the credential `name` and the priority in `admission`, or returns the reason for
+// a refusal.
 std::optional<RefusalReason> FindTeam(std::string_view name, Admission& admission) {
     admission.priority = admission.route->priority;
     if (!admission.catalog->hasTeams() || admission.route->open) {
--- a/src/admission/Refusal.cpp
+++ b/src/admission/Refusal.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-// How a request is answered that is refused for a reason.
+// The answer to a request that is refused for `reason`.
 struct RefusalRow {
     RefusalReason reason;
     unsigned status;
-    std::string_view text;  // Empty: the detail.
+    std::string_view text;  // Empty: the detail is used.
     std::optional<Millis> retryAfter;
 };
 
 constexpr std::optional<Millis> kAfterConfigurationMs = kRetryAfterNoConfigurationMs;
 constexpr std::optional<Millis> kNoRetry = std::nullopt;
-// One row for each reason.
+// One row per reason.
 constexpr std::array<RefusalRow, 13> kRefusalTable = {{
     {RefusalReason::kBadHead, HttpStatus::kBadRequest, "", kNoRetry},
     {RefusalReason::kNoRequestId, HttpStatus::kBadRequest, "the request has no id", kNoRetry},
--- a/src/health/RequestQuarantine.cpp
+++ b/src/health/RequestQuarantine.cpp
@@ -9,27 +9,28 @@
 
 namespace {
 
-// All times in milliseconds.
-constexpr Millis kImmediateCrashMs =
-    10;  // An upstream that hasDelayedCrash no longer crashed at once.
-constexpr Millis kMinRestartMs = 500;  // Two crashes of one upstream lie at least so far apart.
+// An upstream that crashes within this time after it got the request crashed immediately.
+constexpr Millis kImmediateCrashMs = 10;
+// Minimum time between two crashes of one upstream, since it has to restart in between.
+constexpr Millis kMinRestartMs = 500;
 
 bool CrashedBefore(const CrashObservation& a, const CrashObservation& b) {
     return std::tie(a.crashed, a.id) < std::tie(b.crashed, b.id);
 }
 
-// From when on a crash before this attempt's is taken to come before the attempt itself. One that
-// began after a crash has its middle well after it, one that was under way then well before: boxes'
-// times of the same moment differ by the way of a frame. A request that always crashes its upstream
-// at once leaves no such room.
+// Returns the time at which the attempt is taken to have begun when it is compared with an earlier
+// crash: the middle of its run. Boxes' times of the same event differ by the transmission time of a
+// frame; the middle lies well after the crash if the attempt began after it, and well before if the
+// attempt was already running. If the request always crashes its upstream immediately, the run is
+// too short for this, and the time of the crash is returned.
 MonoTime EstimatedStart(const CrashObservation& observation, bool alwaysAtOnce) {
     const Millis ran = observation.crashed - observation.sent;
     return alwaysAtOnce ? observation.crashed : observation.sent + ran / 2;
 }
 
-// Which of the observations, ordered by the time of the crash, make up the longest sequence in
-// which each attempt began after the crash before it. What ends together at one upstream is one
-// crash.
+// Returns which of the observations, ordered by the time of the crash, form the longest sequence in
+// which each attempt began after the previous crash. Attempts that ended together at one upstream
+// count as one crash.
 std::vector<bool> LongestSequence(const std::vector<CrashObservation>& observations,
                                   bool alwaysAtOnce) {
     std::vector<bool> counted;
@@ -45,8 +46,8 @@
     return counted;
 }
 
-// Drops the last observation that does not count; of those that all count, the last. The same ones
-// are left whatever the order in which they came.
+// Removes the last observation that is not counted, or the last one if all are counted. The
+// remaining observations do not depend on the order in which they were received.
 void DropSurplus(std::vector<CrashObservation>& observations, const std::vector<bool>& counted) {
     const auto uncounted = std::find(counted.rbegin(), counted.rend(), false);
     const auto at = uncounted == counted.rend()
@@ -86,7 +87,7 @@
     hadTwoCrashes = hadTwoCrashes || crashCount > 1;
 }
 
-// True if the observation is new and was kept.
+// Returns whether the observation is new and was kept.
 bool RequestQuarantine::Record::add(const CrashObservation& observation, MonoTime now) {
     const auto isSame = [&](const CrashObservation& other) { return other.id == observation.id; };
     if (std::any_of(observations.begin(), observations.end(), isSame)) {
--- a/src/health/UpstreamAvoidance.cpp
+++ b/src/health/UpstreamAvoidance.cpp
@@ -4,14 +4,14 @@
 
 namespace onyx {
 
-// A start that is not known counts as the one that asked.
+// An unknown start time counts as that of the recorded incarnation.
 const UpstreamAvoidance::Record* UpstreamAvoidance::find(const Incarnation& upstream) const {
     const auto it = m_records.find(upstream.id);
     const bool later = it != m_records.end() && upstream.startedMs > it->second.startedMs;
     return it == m_records.end() || later ? nullptr : &it->second;
 }
 
-// The record of what this start asks for; nothing if a later one has asked since.
+// Returns the record of this incarnation, or nullptr if a later incarnation is recorded.
 UpstreamAvoidance::Record* UpstreamAvoidance::findOrCreate(const Incarnation& upstream,
                                                            MonoTime now) {
     if (!m_records.contains(upstream.id) && m_records.size() >= kMaxUpstreams) {
--- a/src/lifecycle/Drain.cpp
+++ b/src/lifecycle/Drain.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr Millis kBalancerDetectionMs = 2500;  // Two questions, one a second, and a half.
-constexpr Millis kAcceptDivisor = 3;           // Of a short grace.
-// What is kept of the grace for the end itself.
+constexpr Millis kBalancerDetectionMs = 2500;  // Two and a half probes, one per second.
+constexpr Millis kAcceptDivisor = 3;           // Divisor of a short grace period.
+// The part of the grace period that is reserved for the exit: 1/kExitTimeDivisor of it, but at
+// least kMinExitTimeMs milliseconds.
 constexpr Millis kMinExitTimeMs = 300;
 constexpr Millis kExitTimeDivisor = 16;
 
