--- a/src/health/UpstreamHealth.cpp
+++ b/src/health/UpstreamHealth.cpp
@@ -37,7 +37,7 @@
         return false;
     }
     if (now < record.ejectedUntil) {
-        return false;  // Attempts from before the ejection must not extend it.
+        return false;  // From attempts that began before the ejection: nothing new.
     }
     record.failed += 1;
     if (!warrantsEjection(record, sign)) {
