--- a/include/health/ColdUpstreams.h
+++ b/include/health/ColdUpstreams.h
@@ -26,11 +26,11 @@
     static constexpr size_t kMaxUpstreams =
         4096;  // Beyond this many records the oldest is evicted.
 
-    // Records that the upstream is cold for another `left` milliseconds, or not cold if `left` is
-    // 0. Returns whether the upstream was not cold before and now is. A report on an earlier
-    // incarnation than the recorded one is ignored.
-    // Preconditions: `now` never decreases between calls; left >= 0.
-    bool note(const Incarnation& upstream, Millis left, MonoTime now);
+    // Records that the upstream is cold for another `remaining` milliseconds, or not cold if
+    // `remaining` is 0. Returns whether the upstream was not cold before and now is. A report on an
+    // earlier incarnation than the recorded one is ignored. Preconditions: `now` never decreases
+    // between calls; remaining >= 0.
+    bool note(const Incarnation& upstream, Millis remaining, MonoTime now);
 
     // Returns how long the upstream stays cold, in milliseconds, or nullopt if it is not cold. An
     // unknown start time counts as that of the recorded incarnation.
--- a/src/health/ColdUpstreams.cpp
+++ b/src/health/ColdUpstreams.cpp
@@ -16,9 +16,9 @@
         [](const auto& a, const auto& b) { return a.second.coldUntil < b.second.coldUntil; }));
 }
 
-bool ColdUpstreams::note(const Incarnation& upstream, Millis left, MonoTime now) {
+bool ColdUpstreams::note(const Incarnation& upstream, Millis remaining, MonoTime now) {
     const bool known = m_records.contains(upstream.id);
-    if (!known && left <= 0) {
+    if (!known && remaining <= 0) {
         return false;
     }
     if (!known && m_records.size() >= kMaxUpstreams) {
@@ -30,8 +30,8 @@
     }
     const bool wasCold = upstream.startedMs <= record.startedMs && record.coldUntil > now;
     record.startedMs = std::max(record.startedMs, upstream.startedMs);
-    record.coldUntil = now + left;
-    return !wasCold && left > 0;
+    record.coldUntil = now + remaining;
+    return !wasCold && remaining > 0;
 }
 
 std::optional<Millis> ColdUpstreams::coldLeft(const Incarnation& upstream, MonoTime now) const {
