--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -44,7 +44,7 @@
     std::string_view credential;          // Identifies the team; empty if there is none.
     std::optional<Millis> clientTimeout;  // How long the caller waits, in ms.
     MonoTime arrived;
-    uint64_t draw = 0;  // Random number that picks one of the route's weighted services.
+    uint64_t randomValue = 0;  // Random number that picks one of the route's weighted services.
 };
 
 // The route, service and team of an admitted request, all from one catalog. `route`, `spec` and
--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -54,7 +54,7 @@
     if (const auto reason = FindTeam(request.credential, admission)) {
         return MakeRefusal(*reason);
     }
-    admission.service = PickService(*route, request.draw);
+    admission.service = PickService(*route, request.randomValue);
     admission.spec = admission.catalog->findService(admission.service);
     const Millis clientTimeout = request.clientTimeout.value_or(route->timeout);
     admission.deadline = request.arrived + std::min(clientTimeout, route->timeout);
--- a/src/routing/Catalog.cpp
+++ b/src/routing/Catalog.cpp
@@ -85,17 +85,17 @@
     return it == m_services.end() ? nullptr : it->second;
 }
 
-const ServiceId& PickService(const Route& route, uint64_t draw) {
+const ServiceId& PickService(const Route& route, uint64_t randomValue) {
     uint64_t sum = 0;
     for (const WeightedService& entry : route.services) {
         sum += entry.weight;
     }
-    uint64_t left = sum == 0 ? 0 : draw % sum;
+    uint64_t offset = sum == 0 ? 0 : randomValue % sum;
     for (const WeightedService& entry : route.services) {
-        if (left < entry.weight) {
+        if (offset < entry.weight) {
             return entry.service;
         }
-        left -= entry.weight;
+        offset -= entry.weight;
     }
     return route.services.front().service;
 }
