--- a/src/health/ZoneEvacuations.cpp
+++ b/src/health/ZoneEvacuations.cpp
@@ -4,17 +4,17 @@
 
 EvacuationChanges ZoneEvacuations::applyChanges(const EvacuationChanges& changes,
                                                 bool acceptLowerRevision, MonoTime now) {
-    EvacuationChanges news;
-    news.revision = changes.revision;
+    EvacuationChanges applied;
+    applied.revision = changes.revision;
     if (changes.revision < m_revision && !acceptLowerRevision) {
-        return news;
+        return applied;
     }
     m_revision = changes.revision;
     std::vector<std::string> ended = changes.ended;
     if (changes.whole) {
-        const std::set<std::string> stand(changes.begun.begin(), changes.begun.end());
+        const std::set<std::string> inForce(changes.begun.begin(), changes.begun.end());
         for (const std::string& zone : m_zones) {
-            if (!stand.contains(zone)) {
+            if (!inForce.contains(zone)) {
                 ended.push_back(zone);
             }
         }
@@ -22,16 +22,16 @@
     for (const std::string& zone : ended) {
         if (m_zones.erase(zone) > 0) {
             m_ended[zone] = now;
-            news.ended.push_back(zone);
+            applied.ended.push_back(zone);
         }
     }
     for (const std::string& zone : changes.begun) {
         if (m_zones.insert(zone).second) {
             m_ended.erase(zone);
-            news.begun.push_back(zone);
+            applied.begun.push_back(zone);
         }
     }
-    return news;
+    return applied;
 }
 
 bool ZoneEvacuations::isEvacuated(const ZoneId& zone, std::optional<Millis> listAge,
