--- a/src/routing/Catalog.cpp
+++ b/src/routing/Catalog.cpp
@@ -7,34 +7,34 @@
 
 namespace {
 
-std::string Lower(std::string_view text) {
+std::string ToLowerCase(std::string_view text) {
     std::string out(text);
     std::transform(out.begin(), out.end(), out.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
     return out;
 }
 
-std::string RouteIndex(std::string_view host, std::string_view prefix) {
+std::string RouteKey(std::string_view host, std::string_view prefix) {
     std::string index(host);
     index += ' ';
     index += prefix;
     return index;
 }
 
-Error BadRoute(const Route& route, const char* what) {
+Error RouteError(const Route& route, const char* what) {
     return Error{ErrorCode::kBadInput, "catalog.route", route.name, what};
 }
 
 Result<bool> CheckRoute(const Route& route) {
     if (route.pathPrefix.empty() || route.pathPrefix.front() != '/' ||
         route.pathPrefix.back() != '/') {
-        return BadRoute(route, "path prefix: expected a slash at both ends");
+        return RouteError(route, "path prefix: expected a slash at both ends");
     }
     if (route.services.empty()) {
-        return BadRoute(route, "services: expected at least one");
+        return RouteError(route, "services: expected at least one");
     }
     if (route.timeout <= 0 || route.maxAttempts <= 0) {
-        return BadRoute(route, "timeout and attempts: expected more than 0");
+        return RouteError(route, "timeout and attempts: expected more than 0");
     }
     return true;
 }
@@ -50,8 +50,8 @@
     std::shared_ptr<Catalog> catalog(new Catalog(std::move(parts)));
     for (Route& route : catalog->m_parts.routes) {
         BOOST_OUTCOME_TRY(CheckRoute(route));
-        route.host = Lower(route.host);
-        catalog->m_routes.emplace(RouteIndex(route.host, route.pathPrefix), &route);
+        route.host = ToLowerCase(route.host);
+        catalog->m_routes.emplace(RouteKey(route.host, route.pathPrefix), &route);
     }
     for (const ServiceSpec& service : catalog->m_parts.services) {
         catalog->m_services.emplace(service.name.value, &service);
@@ -60,14 +60,14 @@
 }
 
 const Route* Catalog::findRoute(std::string_view host, std::string_view path) const {
-    const std::string name = Lower(host.substr(0, host.find(':')));
+    const std::string name = ToLowerCase(host.substr(0, host.find(':')));
     std::string_view prefix = path.substr(0, path.find('?'));
     while (true) {
         const size_t slash = prefix.rfind('/');
         if (slash == std::string_view::npos) {
             return nullptr;
         }
-        const auto it = m_routes.find(RouteIndex(name, prefix.substr(0, slash + 1)));
+        const auto it = m_routes.find(RouteKey(name, prefix.substr(0, slash + 1)));
         if (it != m_routes.end()) {
             return it->second;
         }
