--- a/src/routing/UpstreamTable.cpp
+++ b/src/routing/UpstreamTable.cpp
@@ -7,11 +7,11 @@
 namespace onyx {
 
 uint8_t StartTag(int64_t startedMs) {
-    constexpr uint64_t kTags = 255;
+    constexpr uint64_t kTagCount = 255;
     if (startedMs == 0) {
         return 0;
     }
-    return static_cast<uint8_t>(1 + HashText(std::to_string(startedMs)) % kTags);
+    return static_cast<uint8_t>(1 + HashText(std::to_string(startedMs)) % kTagCount);
 }
 
 void UpstreamTable::put(Upstream upstream, MonoTime since, uint64_t revision) {
