--- a/include/health/UpstreamHealth.h
+++ b/include/health/UpstreamHealth.h
@@ -47,7 +47,7 @@
     // upstream is ejected from now on. A silent attempt is ignored if the upstream has answered
     // another one since `sent`.
     // Preconditions: sent <= now; `now` never decreases between calls.
-    bool note(const std::string& upstream, HealthSignal sign, MonoTime sent, MonoTime now);
+    bool note(const std::string& upstream, HealthSignal signal, MonoTime sent, MonoTime now);
 
     // Returns whether the upstream is ejected at `now`.
     // Preconditions: `now` never decreases between calls.
@@ -70,7 +70,7 @@
     void decay(Record& record, MonoTime now) const;
     void eject(Record& record, MonoTime now) const;
     static void noteAnswer(Record& record, MonoTime now);
-    bool warrantsEjection(Record& record, HealthSignal sign) const;
+    bool warrantsEjection(Record& record, HealthSignal signal) const;
 
     HealthSettings m_settings;
     std::map<std::string, Record> m_records;
--- a/src/health/UpstreamHealth.cpp
+++ b/src/health/UpstreamHealth.cpp
@@ -22,17 +22,17 @@
     record.failed = 0;
 }
 
-bool UpstreamHealth::note(const std::string& upstream, HealthSignal sign, MonoTime sent,
+bool UpstreamHealth::note(const std::string& upstream, HealthSignal signal, MonoTime sent,
                           MonoTime now) {
     Record& record = m_records[upstream];
     decay(record, now);
-    if (sign == HealthSignal::kAnswered || sign == HealthSignal::kFailed) {
+    if (signal == HealthSignal::kAnswered || signal == HealthSignal::kFailed) {
         record.lastAnswerAt = now;
     }
-    if (sign == HealthSignal::kSilent && record.lastAnswerAt >= sent) {
+    if (signal == HealthSignal::kSilent && record.lastAnswerAt >= sent) {
         return false;
     }
-    if (sign == HealthSignal::kAnswered) {
+    if (signal == HealthSignal::kAnswered) {
         noteAnswer(record, now);
         return false;
     }
@@ -40,7 +40,7 @@
         return false;  // From attempts that began before the ejection: nothing new.
     }
     record.failed += 1;
-    if (!warrantsEjection(record, sign)) {
+    if (!warrantsEjection(record, signal)) {
         return false;
     }
     eject(record, now);
@@ -55,11 +55,11 @@
     }
 }
 
-bool UpstreamHealth::warrantsEjection(Record& record, HealthSignal sign) const {
-    if (sign == HealthSignal::kUnreachable) {
+bool UpstreamHealth::warrantsEjection(Record& record, HealthSignal signal) const {
+    if (signal == HealthSignal::kUnreachable) {
         return true;
     }
-    if (sign == HealthSignal::kSilent &&
+    if (signal == HealthSignal::kSilent &&
         ++record.consecutiveSilent >= m_settings.minConsecutiveSilent) {
         return true;
     }
--- a/src/routing/Catalog.cpp
+++ b/src/routing/Catalog.cpp
@@ -15,10 +15,10 @@
 }
 
 std::string RouteKey(std::string_view host, std::string_view prefix) {
-    std::string index(host);
-    index += ' ';
-    index += prefix;
-    return index;
+    std::string key(host);
+    key += ' ';
+    key += prefix;
+    return key;
 }
 
 Error RouteError(const Route& route, const char* what) {
--- a/tests/UpstreamHealthTest.cpp
+++ b/tests/UpstreamHealthTest.cpp
@@ -46,8 +46,8 @@
     UpstreamHealth health{HealthSettings{}};
     bool ejected = false;
     for (int i = 0; i < 40; ++i) {
-        const auto sign = i % 5 == 0 ? HealthSignal::kFailed : HealthSignal::kAnswered;
-        ejected = health.note(kUpstream, sign, {i * 10}, {i * 10}) || ejected;
+        const auto signal = i % 5 == 0 ? HealthSignal::kFailed : HealthSignal::kAnswered;
+        ejected = health.note(kUpstream, signal, {i * 10}, {i * 10}) || ejected;
     }
     CHECK_FALSE(ejected);
     for (int i = 40; i < 80; ++i) {
