--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -39,7 +39,7 @@
     return request;
 }
 
-// The refusal of a request, or nothing if it is admitted.
+// Returns the refusal of a request, or nullopt if it is admitted.
 std::optional<Refusal> RefusalOf(const AdmissionRules& rules, const AdmissionState& state,
                                  const AdmissionRequest& request) {
     auto decided = Admit(rules, state, request);
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-TEST_CASE("An admitted request has its team's priority and the earlier of two deadlines") {
+TEST_CASE("An admitted request gets its team's priority and the earlier of the two deadlines") {
     const auto decided = Admit({}, Fresh(), RequestFor("/keyed/x", "key-of-north"));
     const auto* admission = std::get_if<Admission>(&decided);
     REQUIRE(admission != nullptr);
@@ -64,7 +64,7 @@
     CHECK(std::get<Admission>(Admit({}, Fresh(), hurried)).deadline == MonoTime{1500});
 }
 
-TEST_CASE("A box that knows says what does not exist; one that does not know says so") {
+TEST_CASE("A box answers 404 and 401 only with a fresh configuration, otherwise 503") {
     const AdmissionRequest noRoute = RequestFor("/nowhere/", "key-of-north");
     const AdmissionRequest noCredential = RequestFor("/keyed/", "x");
     const AdmissionRules serving{ServeStale{}, 3600};
@@ -80,7 +80,7 @@
 }
 
 TEST_CASE(
-    "A configuration that is too old serves open routes only, at admission and before a send") {
+    "Only open routes are served with an expired configuration, at admission and before a send") {
     AdmissionState state = Fresh();
     state.catalogAge = kBeyondAll;
     const AdmissionRules rules{ServeStale{}, 3600};
@@ -97,7 +97,7 @@
     CHECK(CanAdmit(rules, Fresh()));
 }
 
-TEST_CASE("A box that is about to end refuses, and the caller may go elsewhere at once") {
+TEST_CASE("A box that is shutting down refuses requests, and callers may retry elsewhere at once") {
     AdmissionState state = Fresh();
     state.refusing = true;
     const auto refusal = RefusalOf({}, state, RequestFor("/open/", ""));
@@ -106,18 +106,18 @@
     CHECK(refusal->retryAfter == Millis{0});
 }
 
-TEST_CASE("Each reason to refuse has its answer") {
+TEST_CASE("Each refusal reason has a status and a text") {
     for (int i = 0; i <= static_cast<int>(RefusalReason::kUnclear); ++i) {
         const Refusal refusal = MakeRefusal(static_cast<RefusalReason>(i), "detail");
         CHECK(static_cast<int>(refusal.reason) == i);
         CHECK(refusal.status >= 400);
         CHECK_FALSE(refusal.text.empty());
-        // Only a request that cannot have run is answered with a time to retry.
+        // Only the refusal of a request that cannot have run has a retry time.
         CHECK((refusal.status == 503) == refusal.retryAfter.has_value());
     }
 }
 
-TEST_CASE("A caller is told when to retry only where its request did not run") {
+TEST_CASE("Only a refusal of a request that did not run has a Retry-After") {
     for (const auto reason : {RefusalReason::kTimedOut, RefusalReason::kUnclear}) {
         CHECK_FALSE(MakeRefusal(reason).retryAfter.has_value());
     }
--- a/tests/AttemptHealthSignalTest.cpp
+++ b/tests/AttemptHealthSignalTest.cpp
@@ -4,8 +4,7 @@
 
 using namespace onyx;
 
-TEST_CASE(
-    "An attempt over a network that is cut has its upstream ejected at once, silence does not") {
+TEST_CASE("An unreachable machine ejects its upstream at once, a single silent attempt does not") {
     for (const AttemptEnd end : {AttemptEnd::kUnclear, AttemptEnd::kStreamBroken}) {
         UpstreamHealth cut{HealthSettings()};
         CHECK(cut.note("u", *AttemptHealthSignal(end, true), {0}, {700}));
@@ -15,7 +14,7 @@
     }
 }
 
-TEST_CASE("An attempt that an upstream declined says nothing of its health") {
+TEST_CASE("An attempt that the upstream declined gives no health signal") {
     CHECK_FALSE(AttemptHealthSignal(AttemptEnd::kDeclined, false).has_value());
     CHECK_FALSE(AttemptHealthSignal(AttemptEnd::kMisdirected, false).has_value());
 }
--- a/tests/CatalogTest.cpp
+++ b/tests/CatalogTest.cpp
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-TEST_CASE("The longest prefix of a host wins, whatever the order") {
+TEST_CASE(
+    "The route with the longest matching prefix of its host is found, in any order of the routes") {
     const auto catalog =
         CatalogOf({RouteOf("all", "A.example", "/"), RouteOf("long", "a.example", "/x/y/"),
                    RouteOf("short", "a.example", "/x/"), RouteOf("other", "b.example", "/x/y/z/")});
@@ -41,7 +42,7 @@
     CHECK(found("a.example", "") == "none");
 }
 
-TEST_CASE("A route that cannot be served is an error that names it") {
+TEST_CASE("An invalid route is an error that names the route") {
     CatalogParts parts;
     parts.routes = {RouteOf("r1", "a", "no-slash")};
     const auto made = Catalog::Make(parts);
@@ -53,7 +54,7 @@
     CHECK(Catalog::Make(parts).has_error());
 }
 
-TEST_CASE("A route's weights are met over all points") {
+TEST_CASE("Services are picked in proportion to their weights over all random numbers") {
     Route route = RouteOf("r", "a", "/");
     route.services = {{ServiceId("big"), 90}, {ServiceId("small"), 10}, {ServiceId("none"), 0}};
     int small = 0;
--- a/tests/ColdUpstreamsTest.cpp
+++ b/tests/ColdUpstreamsTest.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("An upstream is cold for as long as it is said to be") {
+TEST_CASE("An upstream is cold for the reported time") {
     ColdUpstreams cold;
     CHECK_FALSE(cold.coldLeft(kUpstream, {0}));
     CHECK_FALSE(cold.note(kUpstream, 0, {0}));
@@ -23,7 +23,7 @@
     CHECK_FALSE(cold.coldLeft({"b", 1000}, {1000}));
 }
 
-TEST_CASE("An upstream may become cold again, and may be said to be warm before its time") {
+TEST_CASE("An upstream may become cold again, and may be reported warm before its time is over") {
     ColdUpstreams cold;
     cold.note(kUpstream, 3000, {0});
     CHECK_FALSE(cold.note(kUpstream, 0, {500}));
@@ -32,18 +32,18 @@
     CHECK(cold.coldLeft(kUpstream, {11000}) == 1000);
 }
 
-TEST_CASE("What is said of an earlier start changes nothing for a later one") {
+TEST_CASE("A report on an earlier incarnation does not change a later one") {
     ColdUpstreams cold;
     cold.note(kUpstream, 3000, {0});
     CHECK_FALSE(cold.coldLeft(kRestarted, {0}));
     CHECK(cold.note(kRestarted, 3000, {1000}));
     CHECK_FALSE(cold.note(kUpstream, 0, {1100}));
     CHECK(cold.coldLeft(kRestarted, {1100}) == 2900);
-    // A box of an earlier build passes on no start.
+    // A box of an earlier build does not pass on the start time.
     CHECK(cold.coldLeft({"a", 0}, {1100}) == 2900);
 }
 
-TEST_CASE("Requests of one box to a cold upstream are a spacing apart") {
+TEST_CASE("Requests of one box to a cold upstream are at least the spacing apart") {
     ColdUpstreams cold;
     cold.note(kUpstream, 3000, {0});
     CHECK(cold.waitBeforeSend(kUpstream, 300, {0}) == 0);
@@ -54,7 +54,7 @@
     CHECK(cold.waitBeforeSend({"b", 1}, 300, {100}) == 0);
 }
 
-TEST_CASE("The first reason that holds is the one that an upstream is left out for") {
+TEST_CASE("An upstream is excluded for the first reason that applies") {
     CHECK_FALSE(ExclusionOf({}));
     UpstreamStanding standing;
     standing.coldWait = 0;
@@ -75,7 +75,7 @@
     CHECK(ExclusionOf(standing)->reason == ExclusionReason::kDraining);
 }
 
-TEST_CASE("A tally of what is left out names the reasons and the shortest wait") {
+TEST_CASE("A tally of excluded upstreams has the counts by reason and the shortest wait") {
     ExclusionTally tally;
     CHECK(tally.text().empty());
     CHECK_FALSE(tally.wait());
--- a/tests/DrainTest.cpp
+++ b/tests/DrainTest.cpp
@@ -4,7 +4,7 @@
 
 using namespace onyx;
 
-TEST_CASE("A planned stop takes requests, then refuses them, and ends within its grace") {
+TEST_CASE("A planned stop accepts requests, then refuses them, and ends within the grace period") {
     for (const Millis grace : {500, 1000, 8000, 30000}) {
         const Millis accept = DrainSettings::DefaultAccept(grace);
         const Millis limit = DrainSettings::DefaultLimit(grace);
@@ -14,7 +14,7 @@
     }
 }
 
-TEST_CASE("The process ends when nothing is under way, or at its limit") {
+TEST_CASE("The process may exit when no request is active, or at its limit") {
     const DrainSettings settings;
     Lifecycle lifecycle;
     CHECK_FALSE(lifecycle.draining());
--- a/tests/LocalRetryBudgetTest.cpp
+++ b/tests/LocalRetryBudgetTest.cpp
@@ -14,12 +14,12 @@
     }
     CHECK(taken == 20);
     CHECK(allowance.retries({20990}) == 20);
-    // The window moved on: first attempts and retries are forgotten alike.
+    // The window has moved on; first attempts and retries before it are dropped.
     CHECK_FALSE(allowance.tryAcquireRetry({40000}, 1));
     CHECK(allowance.retries({40000}) == 0);
 }
 
-TEST_CASE("A new life has no slack until a window has passed") {
+TEST_CASE("A restarted box has no slack until one window has passed") {
     LocalRetryBudget allowance({10000, 0.2, 3}, {5000});
     CHECK_FALSE(allowance.tryAcquireRetry({5000}, 1));
     CHECK_FALSE(allowance.tryAcquireRetry({14999}, 1));
@@ -29,7 +29,7 @@
     CHECK_FALSE(allowance.tryAcquireRetry({15000}, 1));
 }
 
-TEST_CASE("The slack of a site is shared by its boxes") {
+TEST_CASE("The boxes of a site share its slack") {
     for (const size_t boxes : {size_t{1}, size_t{4}, size_t{85}}) {
         size_t taken = 0;
         for (size_t box = 0; box < boxes; ++box) {
@@ -43,7 +43,8 @@
     }
 }
 
-TEST_CASE("The slack is shared by a least number of boxes, and each service has its own budget") {
+TEST_CASE(
+    "The slack is divided by a minimum number of boxes, and each service has its own budget") {
     const LocalRetryBudgetSettings settings{10000, 0, 16, 8};
     LocalRetryBudgets allowances(settings, {0});
     const auto taken = [&](const char* service, size_t boxesKnown) {
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -14,7 +14,7 @@
 
 constexpr uint64_t kRequest = 7;
 
-// A crash at `at` of an upstream that had the request for `ran` milliseconds.
+// Returns the crash at `at` of an upstream that had run the request for `ran` milliseconds.
 CrashObservation Crash(uint32_t id, Millis at, Millis ran = 50, uint64_t request = kRequest) {
     return {request, id, id, {at - ran}, {at}};
 }
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("The same method, host, target, team and body are one request at every box") {
+TEST_CASE("Requests with the same method, host, target, team and body have the same fingerprint") {
     const uint64_t same = Fingerprint({"POST", "desk.example", "/chat/2f", "north", "body"});
     CHECK(same == Fingerprint({"POST", "Desk.example:80", "/chat/2f", "north", "body"}));
     CHECK(same != Fingerprint({"PUT", "desk.example", "/chat/2f", "north", "body"}));
@@ -39,7 +39,9 @@
     CHECK(FingerprintText(0xab) == "00000000000000ab");
 }
 
-TEST_CASE("A request is in quarantine once three upstreams crashed under it one after the other") {
+TEST_CASE(
+    "A request is in quarantine after three upstreams crashed while running it, one after the "
+    "other") {
     RequestQuarantine quarantine;
     CHECK(quarantine.noteCrash(Crash(1, 1000), {1000}) == CrashEffect::kRecorded);
     CHECK(quarantine.noteCrash(Crash(2, 2000), {2000}) == CrashEffect::kRecorded);
@@ -50,8 +52,8 @@
     CHECK_FALSE(quarantine.remainingTime(kRequest + 1, {3000}));
 }
 
-// Guards against counting a crash twice that several boxes tell of.
-TEST_CASE("A crash that is told again counts once") {
+// Guards against counting a crash twice when several boxes report it.
+TEST_CASE("A crash that is reported repeatedly counts once") {
     RequestQuarantine quarantine;
     for (int i = 0; i < 5; ++i) {
         quarantine.noteCrash(Crash(1, 1000), {1000 + i});
@@ -61,8 +63,8 @@
     CHECK(quarantine.noteCrash(Crash(2, 2000), {2100}) == CrashEffect::kUnchanged);
 }
 
-// Guards against taking a popular request for the cause when several upstreams are lost at once.
-TEST_CASE("Attempts that were under way together count as one crash") {
+// Guards against blaming a popular request when several upstreams are lost at the same time.
+TEST_CASE("Attempts that ran at the same time count as one crash") {
     RequestQuarantine quarantine;
     for (uint32_t i = 0; i < 20; ++i) {
         quarantine.noteCrash(Crash(i, 1000 + i, 400), {1100});
@@ -73,8 +75,8 @@
     CHECK(quarantine.remainingTime(kRequest, {3000}));
 }
 
-// Guards against losing count where a box hears of a crash later than it happened.
-TEST_CASE("A crash that is told some milliseconds late still comes before the next attempt") {
+// Guards against missing a crash when a box learns of it later than it happened.
+TEST_CASE("A crash reported some milliseconds late still counts as before the next attempt") {
     RequestQuarantine quarantine;
     constexpr Millis kLate = 15;
     NoteAll(quarantine,
@@ -82,15 +84,15 @@
     CHECK(quarantine.crashCount(kRequest) == 4);
 }
 
-// Guards against a quarantine of what upstreams can run.
-TEST_CASE("A good answer clears a request of the crashes before it") {
+// Guards against the quarantine of a request that upstreams can serve.
+TEST_CASE("A successful answer clears a request of earlier crashes") {
     RequestQuarantine quarantine;
     NoteAll(quarantine, {Crash(1, 1000), Crash(2, 2000)});
     CHECK(quarantine.noteAnswer(kRequest, {2500}, {2500}));
     CHECK_FALSE(quarantine.noteAnswer(kRequest + 1, {2500}, {2500}));
     quarantine.noteCrash(Crash(3, 3000), {3000});
     CHECK(quarantine.crashCount(kRequest) == 1);
-    // Told late by a box that had not heard of the answer.
+    // Reported late by a box that had not received the answer.
     CHECK(quarantine.noteCrash(Crash(4, 2200), {3100}) == CrashEffect::kUnchanged);
     NoteAll(quarantine, {Crash(5, 4000), Crash(6, 5000)});
     CHECK(quarantine.remainingTime(kRequest, {5000}));
@@ -98,7 +100,8 @@
     CHECK_FALSE(quarantine.remainingTime(kRequest, {5500}));
 }
 
-TEST_CASE("A quarantine ends ten minutes after the last crash, and suspicions with it") {
+TEST_CASE(
+    "A quarantine ends ten minutes after the last crash, and the request's record is removed") {
     RequestQuarantine quarantine;
     NoteAll(quarantine, {Crash(1, 1000), Crash(2, 2000), Crash(3, 3000)});
     const MonoTime end = MonoTime{3000} + RequestQuarantine::kRetentionMs;
@@ -109,15 +112,15 @@
     CHECK(quarantine.empty());
 }
 
-TEST_CASE("Crashes that lie further apart than the memory do not add up") {
+TEST_CASE("Crashes further apart than the retention time do not add up") {
     RequestQuarantine quarantine;
     const Millis apart = RequestQuarantine::kRetentionMs * 2 / 3;
     NoteAll(quarantine, {Crash(1, apart), Crash(2, 2 * apart), Crash(3, 3 * apart)});
     CHECK(quarantine.crashCount(kRequest) == 2);
 }
 
-// Guards against a cause that is never found since its copies always overlap.
-TEST_CASE("Copies that are under way all the time are told from one loss") {
+// Guards against never identifying a crashing request because its copies always overlap.
+TEST_CASE("Continuously overlapping copies that crash upstreams are quarantined") {
     RequestQuarantine quarantine;
     for (uint32_t i = 0; i < 40; ++i) {
         quarantine.noteCrash(Crash(i, 1000 + i * 60, 150), {1000 + i * 60});
@@ -125,8 +128,8 @@
     CHECK(quarantine.remainingTime(kRequest, {3400}));
 }
 
-// Guards against counting one crash for each of the attempts that were there.
-TEST_CASE("Attempts that ended with one upstream count as one crash") {
+// Guards against counting one crash of an upstream once per attempt that it was running.
+TEST_CASE("Attempts that ended together at one upstream count as one crash") {
     RequestQuarantine quarantine;
     for (uint32_t i = 0; i < 6; ++i) {
         quarantine.noteCrash({kRequest, i, 77, {998}, {1000 + i}}, {1010});
@@ -134,16 +137,16 @@
     CHECK(quarantine.crashCount(kRequest) == 1);
 }
 
-// Guards against losing count of crashes that follow each other within a millisecond.
-TEST_CASE("Upstreams that crash at once are counted one by one") {
+// Guards against missing crashes that follow each other within a millisecond.
+TEST_CASE("Upstreams that crash immediately are counted one by one") {
     RequestQuarantine quarantine;
     NoteAll(quarantine, {Crash(1, 1001, 0), Crash(2, 1001, 1), Crash(3, 1001, 0)});
     CHECK(quarantine.remainingTime(kRequest, {1001}));
 }
 
-// Guards against blaming a request of which many copies had just been sent when upstreams were
+// Guards against blaming a request if many copies of it had just been sent when upstreams were
 // lost.
-TEST_CASE("Copies of any age that were under way at one moment count as one crash") {
+TEST_CASE("Copies of any age that ran at the same moment count as one crash") {
     RequestQuarantine quarantine;
     for (uint32_t i = 0; i < 24; ++i) {
         quarantine.noteCrash(Crash(i, 1000, 5 * i), {1010});
@@ -151,7 +154,7 @@
     CHECK(quarantine.crashCount(kRequest) == 1);
 }
 
-TEST_CASE("Whether a request is in quarantine does not depend on the order of what is told") {
+TEST_CASE("Whether a request is in quarantine does not depend on the order of the reports") {
     std::mt19937 random(5);
     const MonoTime now{60000};
     size_t inQuarantine = 0;
@@ -177,7 +180,7 @@
     CHECK(inQuarantine < 180);
 }
 
-TEST_CASE("The memory is bounded, and what has crashed most is kept") {
+TEST_CASE("The number of records is bounded, and the requests with the most crashes are kept") {
     RequestQuarantine quarantine;
     NoteAll(quarantine, {Crash(1, 1000), Crash(2, 2000), Crash(3, 3000)});
     for (uint32_t i = 0; i < 2 * RequestQuarantine::kMaxRequests; ++i) {
--- a/tests/UpstreamAvoidanceTest.cpp
+++ b/tests/UpstreamAvoidanceTest.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-TEST_CASE("An upstream gets no request until the time that it asked for is over") {
+TEST_CASE("An upstream gets no requests until its requested backoff is over") {
     UpstreamAvoidance avoidance;
     CHECK_FALSE(avoidance.isAvoided(kUpstream, {0}));
     CHECK(avoidance.recordBackoff(kUpstream, {3000}, {0}));
@@ -21,8 +21,8 @@
     CHECK_FALSE(avoidance.isAvoided({"b", 1000}, {1}));
 }
 
-// Guards against a later answer that cuts short what an earlier one asked for.
-TEST_CASE("Of several wishes the longest holds") {
+// Guards against a later answer that shortens the backoff requested by an earlier one.
+TEST_CASE("The longest of several requested backoffs holds") {
     UpstreamAvoidance avoidance;
     CHECK(avoidance.recordBackoff(kUpstream, {3000}, {0}));
     CHECK_FALSE(avoidance.recordBackoff(kUpstream, {1500}, {500}));
@@ -32,19 +32,20 @@
     CHECK_FALSE(avoidance.recordBackoff(kUpstream, {5000}, {5000}));
 }
 
-TEST_CASE("Another start of an upstream wants what it says itself") {
+TEST_CASE("A new incarnation of an upstream does not inherit the backoff of the one before") {
     UpstreamAvoidance avoidance;
     avoidance.recordBackoff(kUpstream, {9000}, {0});
     CHECK_FALSE(avoidance.isAvoided(kRestarted, {1}));
     CHECK(avoidance.isAvoided({"a", 0}, {1}));
     CHECK(avoidance.recordBackoff(kRestarted, {5000}, {100}));
     CHECK_FALSE(avoidance.isAvoided(kRestarted, {5000}));
-    // An answer of the start before, told late.
+    // A late answer of the incarnation before.
     CHECK_FALSE(avoidance.recordBackoff(kUpstream, {6000}, {5100}));
     CHECK_FALSE(avoidance.isAvoided(kRestarted, {5100}));
 }
 
-TEST_CASE("An upstream that leaves gets no request for good, another start of it does") {
+TEST_CASE(
+    "An upstream that announced its shutdown gets no more requests, its next incarnation does") {
     UpstreamAvoidance avoidance;
     CHECK(avoidance.recordLeaving(kUpstream, {0}));
     CHECK_FALSE(avoidance.recordLeaving(kUpstream, {10}));
@@ -53,13 +54,13 @@
     CHECK(avoidance.isLeaving(kUpstream));
     CHECK_FALSE(avoidance.remainingBackoff(kUpstream, {0}));
     CHECK_FALSE(avoidance.isAvoided(kRestarted, {0}));
-    // An answer of the start before, told late.
+    // A late answer of the incarnation before.
     CHECK(avoidance.recordBackoff(kRestarted, {500}, {20}));
     CHECK_FALSE(avoidance.recordLeaving(kUpstream, {30}));
     CHECK_FALSE(avoidance.isLeaving(kRestarted));
 }
 
-TEST_CASE("The wishes of a bounded number of upstreams are remembered, the newest ones") {
+TEST_CASE("The number of records is bounded, and the newest ones are kept") {
     UpstreamAvoidance avoidance;
     for (size_t i = 0; i < 2 * UpstreamAvoidance::kMaxUpstreams; ++i) {
         const auto now = static_cast<Millis>(i);
--- a/tests/UpstreamHealthTest.cpp
+++ b/tests/UpstreamHealthTest.cpp
@@ -23,7 +23,7 @@
     CHECK_FALSE(health.isEjected(kUpstream, {4020}));
 }
 
-TEST_CASE("Two silent requests in a row leave an upstream alone, an answer between them does not") {
+TEST_CASE("Two silent attempts in a row eject an upstream, unless an answer comes between them") {
     UpstreamHealth health{HealthSettings{}};
     CHECK_FALSE(health.note(kUpstream, HealthSignal::kSilent, {0}, {100}));
     health.note(kUpstream, HealthSignal::kAnswered, {100}, {200});
@@ -31,8 +31,9 @@
     CHECK(health.note(kUpstream, HealthSignal::kSilent, {500}, {600}));
 }
 
-TEST_CASE("Silence proves nothing while the upstream answers others") {
-    // Found on a quiet day: requests with a short timeout of their own took a sound upstream out.
+TEST_CASE("A silent attempt is ignored while the upstream answers others") {
+    // Guards against requests with a short timeout of their own that eject a healthy upstream;
+    // observed under low load.
     UpstreamHealth health{HealthSettings{}};
     for (int i = 0; i < 10; ++i) {
         const MonoTime sent{i * 1000};
@@ -42,7 +43,7 @@
     CHECK_FALSE(health.isEjected(kUpstream, {10000}));
 }
 
-TEST_CASE("A share of failures above the bound leaves an upstream alone, a lower one does not") {
+TEST_CASE("A share of failures above the limit ejects an upstream, a lower one does not") {
     UpstreamHealth health{HealthSettings{}};
     bool ejected = false;
     for (int i = 0; i < 40; ++i) {
@@ -56,7 +57,7 @@
     CHECK(ejected);
 }
 
-TEST_CASE("Requests from before the pause do not lengthen it") {
+TEST_CASE("Attempts from before an ejection do not extend it") {
     UpstreamHealth health{HealthSettings{}};
     health.note(kUpstream, HealthSignal::kUnreachable, {0}, {0});
     for (int i = 0; i < 5; ++i) {
--- a/tests/UpstreamTableTest.cpp
+++ b/tests/UpstreamTableTest.cpp
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-TEST_CASE("Upstreams that leave take no work; those of other services neither") {
+TEST_CASE(
+    "Draining upstreams and those of other services are not in the list of accepting upstreams") {
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 1);
     table.put(UpstreamOf("b", true), {1}, 1);
@@ -21,7 +22,7 @@
     CHECK(table.acceptingUpstreams(ServiceId("t")).empty());
 }
 
-TEST_CASE("A change keeps the time at which an upstream came") {
+TEST_CASE("An update keeps the time at which an upstream was first seen") {
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 1);
     table.put(UpstreamOf("a", true), {9}, 2);
@@ -41,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("Changes since a revision are those that came after it") {
+TEST_CASE("Changes since a revision are those made after it") {
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 10);
     table.put(UpstreamOf("b"), {1}, 10);
@@ -60,7 +61,7 @@
     CHECK(table.changesSince(14).removed.empty());
 }
 
-TEST_CASE("An upstream that went and came back is told as it is now") {
+TEST_CASE("An upstream that was removed and added again is reported in its current state") {
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 10);
     table.setRevision(10);
@@ -72,7 +73,9 @@
     CHECK(IdsOf(since.changed) == std::vector<std::string>{"a"});
 }
 
-TEST_CASE("Since before the first list, or before the oldest removal, all is told") {
+TEST_CASE(
+    "The whole list is returned for revisions before the first list or the oldest recorded "
+    "removal") {
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 10);
     table.setRevision(10);
@@ -88,7 +91,9 @@
     CHECK_FALSE(table.changesSince(12).whole);
 }
 
-TEST_CASE("After a store was restored, all is told to boxes with an older or a void revision") {
+TEST_CASE(
+    "After a restore of the store the whole list is returned for revisions before the restored "
+    "one") {
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 50);
     table.setRevision(50);
--- a/tests/ZoneEvacuationsTest.cpp
+++ b/tests/ZoneEvacuationsTest.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("A zone is evacuated from its order on until the order is gone") {
+TEST_CASE("A zone is evacuated from its order until the order is withdrawn") {
     ZoneEvacuations orders;
     CHECK_FALSE(orders.isEvacuated(kZone, 0, {0}));
     CHECK(orders.applyChanges({false, 2, {"near"}, {}}, false, {0}).begun.size() == 1);
@@ -27,9 +27,9 @@
     CHECK_FALSE(orders.isEvacuated(kZone, 0, {70001}));
 }
 
-// Guards against requests for upstreams that became cold while their zone was evacuated, by a box
-// that does not know it yet.
-TEST_CASE("A zone that is taken back waits for a list of upstreams from after that") {
+// Guards against requests to upstreams that became cold while their zone was evacuated, sent by a
+// box that has no upstream list that says so yet.
+TEST_CASE("A zone whose order was withdrawn stays excluded until a newer upstream list arrives") {
     ZoneEvacuations orders;
     orders.applyChanges(Whole(2, {"near"}), false, {0});
     orders.applyChanges(Whole(3, {}), false, {10000});
@@ -39,7 +39,7 @@
     CHECK_FALSE(orders.isEvacuated(kZone, 60000, {10000 + ZoneEvacuations::kMaxReturnDelayMs}));
 }
 
-TEST_CASE("Who knows less changes nothing, but a store that was restored does") {
+TEST_CASE("A lower revision is ignored unless the store was restored") {
     ZoneEvacuations orders;
     orders.applyChanges(Whole(5, {"near"}), false, {0});
     orders.applyChanges(Whole(4, {}), false, {100});
@@ -49,8 +49,9 @@
     CHECK(orders.revision() == 4);
 }
 
-// Whatever way the orders come, each box is at the store's state once it has its newest revision.
-TEST_CASE("Orders that are told in any order lead to the newest") {
+// In whatever sequence the orders arrive, each box has the store's state once it has received the
+// newest revision.
+TEST_CASE("Orders received in any sequence lead to the newest state") {
     std::minstd_rand random(7);
     const std::vector<std::string> zones = {"a", "b", "c"};
     for (int run = 0; run < 200; ++run) {
