--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::shared_ptr<const Catalog> SomeCatalog() {
+std::shared_ptr<const Catalog> TestCatalog() {
     CatalogParts parts;
     parts.version = 3;
     parts.hasTeams = true;
@@ -26,8 +26,8 @@
     return Catalog::Make(std::move(parts)).value();
 }
 
-AdmissionState Fresh() {
-    return {false, SomeCatalog(), Millis{100}, true};
+AdmissionState FreshState() {
+    return {false, TestCatalog(), Millis{100}, true};
 }
 
 AdmissionRequest RequestFor(std::string_view target, std::string_view credential) {
@@ -47,31 +47,31 @@
     return refusal ? std::optional<Refusal>(*refusal) : std::nullopt;
 }
 
-constexpr Millis kBeyondFresh = 4000;
-constexpr Millis kBeyondAll = 700000;
+constexpr Millis kStaleAgeMs = 4000;
+constexpr Millis kUnusableAgeMs = 700000;
 
 }  // namespace
 
 TEST_CASE("An admitted request gets its team's priority and the earlier of the two deadlines") {
-    const auto decided = Admit({}, Fresh(), RequestFor("/keyed/x", "key-of-north"));
+    const auto decided = Admit({}, FreshState(), RequestFor("/keyed/x", "key-of-north"));
     const auto* admission = std::get_if<Admission>(&decided);
     REQUIRE(admission != nullptr);
     CHECK(admission->team == TeamId("north"));
     CHECK(admission->priority == 1);
     CHECK(admission->deadline == MonoTime{3000});
-    AdmissionRequest hurried = RequestFor("/keyed/x", "key-of-north");
-    hurried.clientTimeout = 500;
-    CHECK(std::get<Admission>(Admit({}, Fresh(), hurried)).deadline == MonoTime{1500});
+    AdmissionRequest shortTimeout = RequestFor("/keyed/x", "key-of-north");
+    shortTimeout.clientTimeout = 500;
+    CHECK(std::get<Admission>(Admit({}, FreshState(), shortTimeout)).deadline == MonoTime{1500});
 }
 
 TEST_CASE("A box answers 404 and 401 only with a fresh configuration, otherwise 503") {
     const AdmissionRequest noRoute = RequestFor("/nowhere/", "key-of-north");
     const AdmissionRequest noCredential = RequestFor("/keyed/", "x");
     const AdmissionRules serving{ServeStale{}, 3600};
-    AdmissionState state = Fresh();
+    AdmissionState state = FreshState();
     CHECK(RefusalOf(serving, state, noRoute)->status == 404);
     CHECK(RefusalOf(serving, state, noCredential)->status == 401);
-    state.catalogAge = kBeyondFresh;
+    state.catalogAge = kStaleAgeMs;
     CHECK(RefusalOf(serving, state, noRoute)->reason == RefusalReason::kRouteUnknownYet);
     CHECK(RefusalOf(serving, state, noCredential)->reason == RefusalReason::kCredentialUnknownYet);
     CHECK_FALSE(RefusalOf(serving, state, RequestFor("/keyed/", "key-of-north")));
@@ -81,8 +81,8 @@
 
 TEST_CASE(
     "Only open routes are served with an expired configuration, at admission and before a send") {
-    AdmissionState state = Fresh();
-    state.catalogAge = kBeyondAll;
+    AdmissionState state = FreshState();
+    state.catalogAge = kUnusableAgeMs;
     const AdmissionRules rules{ServeStale{}, 3600};
     const auto refusal = RefusalOf(rules, state, RequestFor("/keyed/", "key-of-north"));
     REQUIRE(refusal);
@@ -90,15 +90,15 @@
     CHECK(refusal->retryAfter == kRetryAfterNoConfigurationMs);
     const auto open = Admit(rules, state, RequestFor("/open/", ""));
     REQUIRE(std::holds_alternative<Admission>(open));
-    CHECK(MaySend(rules, *std::get<Admission>(open).route, kBeyondAll));
-    const auto keyed = Admit(rules, Fresh(), RequestFor("/keyed/", "key-of-north"));
-    CHECK_FALSE(MaySend(rules, *std::get<Admission>(keyed).route, kBeyondAll));
+    CHECK(MaySend(rules, *std::get<Admission>(open).route, kUnusableAgeMs));
+    const auto keyed = Admit(rules, FreshState(), RequestFor("/keyed/", "key-of-north"));
+    CHECK_FALSE(MaySend(rules, *std::get<Admission>(keyed).route, kUnusableAgeMs));
     CHECK_FALSE(CanAdmit(rules, state));
-    CHECK(CanAdmit(rules, Fresh()));
+    CHECK(CanAdmit(rules, FreshState()));
 }
 
 TEST_CASE("A box that is shutting down refuses requests, and callers may retry elsewhere at once") {
-    AdmissionState state = Fresh();
+    AdmissionState state = FreshState();
     state.refusing = true;
     const auto refusal = RefusalOf({}, state, RequestFor("/open/", ""));
     REQUIRE(refusal);
