--- a/tests/ZoneEvacuationsTest.cpp
+++ b/tests/ZoneEvacuationsTest.cpp
@@ -11,7 +11,7 @@
 
 const ZoneId kZone("near");
 
-EvacuationChanges Whole(uint64_t revision, std::vector<std::string> zones) {
+EvacuationChanges AllOrders(uint64_t revision, std::vector<std::string> zones) {
     return {true, revision, std::move(zones), {}};
 }
 
@@ -31,8 +31,8 @@
 // box that has no upstream list that says so yet.
 TEST_CASE("A zone whose order was withdrawn stays excluded until a newer upstream list arrives") {
     ZoneEvacuations orders;
-    orders.applyChanges(Whole(2, {"near"}), false, {0});
-    orders.applyChanges(Whole(3, {}), false, {10000});
+    orders.applyChanges(AllOrders(2, {"near"}), false, {0});
+    orders.applyChanges(AllOrders(3, {}), false, {10000});
     CHECK(orders.isEvacuated(kZone, 700, {10500}));
     CHECK_FALSE(orders.isEvacuated(kZone, 400, {10500}));
     CHECK(orders.isEvacuated(kZone, std::nullopt, {10500}));
@@ -41,10 +41,10 @@
 
 TEST_CASE("A lower revision is ignored unless the store was restored") {
     ZoneEvacuations orders;
-    orders.applyChanges(Whole(5, {"near"}), false, {0});
-    orders.applyChanges(Whole(4, {}), false, {100});
+    orders.applyChanges(AllOrders(5, {"near"}), false, {0});
+    orders.applyChanges(AllOrders(4, {}), false, {100});
     CHECK(orders.isEvacuated(kZone, 0, {200}));
-    orders.applyChanges(Whole(4, {}), true, {300});
+    orders.applyChanges(AllOrders(4, {}), true, {300});
     CHECK(orders.zones().empty());
     CHECK(orders.revision() == 4);
 }
@@ -56,22 +56,22 @@
     const std::vector<std::string> zones = {"a", "b", "c"};
     for (int run = 0; run < 200; ++run) {
         std::vector<EvacuationChanges> history;
-        std::vector<std::string> stand;
+        std::vector<std::string> inForce;
         for (uint64_t revision = 1; revision <= 8; ++revision) {
             const std::string& zone = zones[random() % zones.size()];
-            const auto it = std::find(stand.begin(), stand.end(), zone);
-            if (it == stand.end()) {
-                stand.push_back(zone);
+            const auto it = std::find(inForce.begin(), inForce.end(), zone);
+            if (it == inForce.end()) {
+                inForce.push_back(zone);
             } else {
-                stand.erase(it);
+                inForce.erase(it);
             }
-            history.push_back(Whole(revision, stand));
+            history.push_back(AllOrders(revision, inForce));
         }
         ZoneEvacuations orders;
         std::shuffle(history.begin(), history.end(), random);
         for (const EvacuationChanges& told : history) {
             orders.applyChanges(told, false, {static_cast<Millis>(run)});
         }
-        CHECK(orders.zones() == std::set<std::string>(stand.begin(), stand.end()));
+        CHECK(orders.zones() == std::set<std::string>(inForce.begin(), inForce.end()));
     }
 }
