--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -19,7 +19,7 @@
     return {request, id, id, {at - ran}, {at}};
 }
 
-void NoteAll(RequestQuarantine& quarantine, const std::vector<CrashObservation>& crashes) {
+void RecordAll(RequestQuarantine& quarantine, const std::vector<CrashObservation>& crashes) {
     for (const CrashObservation& crash : crashes) {
         quarantine.noteCrash(crash, crash.crashed);
     }
@@ -78,23 +78,23 @@
 // Guards against missing a crash when a box learns of it later than it happened.
 TEST_CASE("A crash reported some milliseconds late still counts as before the next attempt") {
     RequestQuarantine quarantine;
-    constexpr Millis kLate = 15;
-    NoteAll(quarantine,
-            {Crash(1, 1000 + kLate), Crash(2, 1050), Crash(3, 1100 + kLate), Crash(4, 1150)});
+    constexpr Millis kReportDelayMs = 15;
+    RecordAll(quarantine, {Crash(1, 1000 + kReportDelayMs), Crash(2, 1050),
+                           Crash(3, 1100 + kReportDelayMs), Crash(4, 1150)});
     CHECK(quarantine.crashCount(kRequest) == 4);
 }
 
 // Guards against the quarantine of a request that upstreams can serve.
 TEST_CASE("A successful answer clears a request of earlier crashes") {
     RequestQuarantine quarantine;
-    NoteAll(quarantine, {Crash(1, 1000), Crash(2, 2000)});
+    RecordAll(quarantine, {Crash(1, 1000), Crash(2, 2000)});
     CHECK(quarantine.noteAnswer(kRequest, {2500}, {2500}));
     CHECK_FALSE(quarantine.noteAnswer(kRequest + 1, {2500}, {2500}));
     quarantine.noteCrash(Crash(3, 3000), {3000});
     CHECK(quarantine.crashCount(kRequest) == 1);
     // Reported late by a box that had not received the answer.
     CHECK(quarantine.noteCrash(Crash(4, 2200), {3100}) == CrashEffect::kUnchanged);
-    NoteAll(quarantine, {Crash(5, 4000), Crash(6, 5000)});
+    RecordAll(quarantine, {Crash(5, 4000), Crash(6, 5000)});
     CHECK(quarantine.remainingTime(kRequest, {5000}));
     CHECK(quarantine.noteAnswer(kRequest, {5500}, {5500}));
     CHECK_FALSE(quarantine.remainingTime(kRequest, {5500}));
@@ -103,7 +103,7 @@
 TEST_CASE(
     "A quarantine ends ten minutes after the last crash, and the request's record is removed") {
     RequestQuarantine quarantine;
-    NoteAll(quarantine, {Crash(1, 1000), Crash(2, 2000), Crash(3, 3000)});
+    RecordAll(quarantine, {Crash(1, 1000), Crash(2, 2000), Crash(3, 3000)});
     const MonoTime end = MonoTime{3000} + RequestQuarantine::kRetentionMs;
     CHECK(quarantine.remainingTime(kRequest, end - 1) == 1);
     CHECK_FALSE(quarantine.remainingTime(kRequest, end));
@@ -115,7 +115,7 @@
 TEST_CASE("Crashes further apart than the retention time do not add up") {
     RequestQuarantine quarantine;
     const Millis apart = RequestQuarantine::kRetentionMs * 2 / 3;
-    NoteAll(quarantine, {Crash(1, apart), Crash(2, 2 * apart), Crash(3, 3 * apart)});
+    RecordAll(quarantine, {Crash(1, apart), Crash(2, 2 * apart), Crash(3, 3 * apart)});
     CHECK(quarantine.crashCount(kRequest) == 2);
 }
 
@@ -140,7 +140,7 @@
 // Guards against missing crashes that follow each other within a millisecond.
 TEST_CASE("Upstreams that crash immediately are counted one by one") {
     RequestQuarantine quarantine;
-    NoteAll(quarantine, {Crash(1, 1001, 0), Crash(2, 1001, 1), Crash(3, 1001, 0)});
+    RecordAll(quarantine, {Crash(1, 1001, 0), Crash(2, 1001, 1), Crash(3, 1001, 0)});
     CHECK(quarantine.remainingTime(kRequest, {1001}));
 }
 
@@ -182,7 +182,7 @@
 
 TEST_CASE("The number of records is bounded, and the requests with the most crashes are kept") {
     RequestQuarantine quarantine;
-    NoteAll(quarantine, {Crash(1, 1000), Crash(2, 2000), Crash(3, 3000)});
+    RecordAll(quarantine, {Crash(1, 1000), Crash(2, 2000), Crash(3, 3000)});
     for (uint32_t i = 0; i < 2 * RequestQuarantine::kMaxRequests; ++i) {
         quarantine.noteCrash(Crash(100 + i, 4000, 50, 1000 + i), {4000});
     }
