--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -164,17 +164,17 @@
             const auto at = static_cast<Millis>(1000 + random() % 1500);
             crashes.push_back(Crash(i, at, static_cast<Millis>(random() % 900)));
         }
-        const auto known = [&] {
+        const auto isQuarantined = [&] {
             RequestQuarantine quarantine;
             for (const CrashObservation& crash : crashes) {
                 quarantine.noteCrash(crash, now);
             }
             return quarantine.remainingTime(kRequest, now).has_value();
         };
-        const bool before = known();
+        const bool before = isQuarantined();
         inQuarantine += before ? 1 : 0;
         std::shuffle(crashes.begin(), crashes.end(), random);
-        CHECK(known() == before);
+        CHECK(isQuarantined() == before);
     }
     CHECK(inQuarantine > 20);
     CHECK(inQuarantine < 180);
--- a/tests/ZoneEvacuationsTest.cpp
+++ b/tests/ZoneEvacuationsTest.cpp
@@ -69,8 +69,8 @@
         }
         ZoneEvacuations orders;
         std::shuffle(history.begin(), history.end(), random);
-        for (const EvacuationChanges& told : history) {
-            orders.applyChanges(told, false, {static_cast<Millis>(run)});
+        for (const EvacuationChanges& received : history) {
+            orders.applyChanges(received, false, {static_cast<Millis>(run)});
         }
         CHECK(orders.zones() == std::set<std::string>(inForce.begin(), inForce.end()));
     }
