--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -31,7 +31,7 @@
 
 // The state of a box that admission depends on.
 struct AdmissionState {
-    bool refusing = false;                   // This box accepts no new requests.
+    bool refusing = false;                   // This box is shutting down.
     std::shared_ptr<const Catalog> catalog;  // Null until there is a configuration.
     std::optional<Millis> catalogAge;        // In milliseconds; nullopt until there is one.
     bool upstreamsListed = false;            // An upstream list has been received.
--- a/include/admission/Refusal.h
+++ b/include/admission/Refusal.h
@@ -21,8 +21,8 @@
     kDraining,              // This box is shutting down.
     kNoConfiguration,       // This box has just started and lacks configuration or upstreams.
     kConfigurationTooOld,   // See StalenessPolicy.
-    kRouteUnknownYet,       // No such route, but the configuration is stale: it may be new.
-    kCredentialUnknownYet,  // No such credential, but it may be new as well.
+    kRouteUnknownYet,       // No such route, but the configuration is stale: the route may be new.
+    kCredentialUnknownYet,  // No such credential, for the same reason.
     kNoRoute,               // The route does not exist.
     kUnknownCredential,     // The credential belongs to no team.
     kQuarantined,           // Upstreams crashed while running it, see RequestQuarantine.
