--- a/include/admission/Admission.h
+++ b/include/admission/Admission.h
@@ -26,7 +26,7 @@
 // How old a configuration may be.
 struct AdmissionRules {
     StalenessPolicy staleness = RefuseStale{};
-    Millis freshLimit = 3600;  // Up to this age a configuration is fresh; see FreshLimit().
+    Millis freshLimit = 3600;  // A configuration up to this age in ms is fresh; see FreshLimit().
 };
 
 // The state of a box that admission depends on.
