--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -39,9 +39,7 @@
     CHECK(FingerprintText(0xab) == "00000000000000ab");
 }
 
-TEST_CASE(
-    "A request is in quarantine after three upstreams crashed while running it, one after the "
-    "other") {
+TEST_CASE("A request is in quarantine after it crashed three upstreams one after the other") {
     RequestQuarantine quarantine;
     CHECK(quarantine.noteCrash(Crash(1, 1000), {1000}) == CrashEffect::kRecorded);
     CHECK(quarantine.noteCrash(Crash(2, 2000), {2000}) == CrashEffect::kRecorded);
--- a/tests/UpstreamTableTest.cpp
+++ b/tests/UpstreamTableTest.cpp
@@ -73,9 +73,7 @@
     CHECK(IdsOf(since.changed) == std::vector<std::string>{"a"});
 }
 
-TEST_CASE(
-    "The whole list is returned for revisions before the first list or the oldest recorded "
-    "removal") {
+TEST_CASE("Revisions before the first list or the oldest recorded removal get the whole list") {
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 10);
     table.setRevision(10);
@@ -91,9 +89,7 @@
     CHECK_FALSE(table.changesSince(12).whole);
 }
 
-TEST_CASE(
-    "After a restore of the store the whole list is returned for revisions before the restored "
-    "one") {
+TEST_CASE("After a restore of the store, revisions before the restored one get the whole list") {
     UpstreamTable table;
     table.put(UpstreamOf("a"), {1}, 50);
     table.setRevision(50);
