--- a/include/placement/ColdShare.h
+++ b/include/placement/ColdShare.h
@@ -35,7 +35,7 @@
 // Not thread safe: one task owns it.
 class ColdShare {
 public:
-    static constexpr size_t kSharers = 3;  // Boxes that share the rate of one upstream.
+    static constexpr size_t kSendersPerUpstream = 3;  // Boxes that share the rate of one upstream.
     // In milliseconds. A box knows its site this long after its start.
     static constexpr Millis kDiscoveryTime = 3000;
 
@@ -45,21 +45,22 @@
     void setLinked(size_t linked) { m_linked = linked; }
 
     // Whether this box sends requests to the upstream while it is cold. Preconditions: as above.
-    bool takesPart(const std::string& upstream, MonoTime now) const;
+    bool maySend(const std::string& upstream, MonoTime now) const;
 
     // The time between two requests of this box to one cold upstream, in milliseconds.
     // Preconditions: limit.perSecond > 0.
     Millis spacing(const ColdLimit& limit) const;
 
 private:
-    bool isDrawn(const std::string& upstream) const;
+    bool isSelected(const std::string& upstream) const;
 
     std::string m_self;
     std::vector<std::string> m_others;
     size_t m_linked = 0;
-    MonoTime m_since;  // When the first boxes were set.
-    bool m_knowsSelf = false;
-    mutable std::unordered_map<std::string, bool> m_drawn;  // By upstream, for these boxes.
+    MonoTime m_firstSetAt;  // When the first boxes were set.
+    bool m_boxesSet = false;
+    mutable std::unordered_map<std::string, bool>
+        m_selectedByUpstream;  // By upstream, for these boxes.
 };
 
 }  // namespace onyx
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -20,7 +20,7 @@
     if (!coldLeft || question.spec == nullptr || question.spec->coldPerSecond <= 0) {
         return std::nullopt;
     }
-    if (!records.coldShare().takesPart(upstream.id, now)) {
+    if (!records.coldShare().maySend(upstream.id, now)) {
         return coldLeft;
     }
     ColdLimit limit = knowledge.settings.cold;
--- a/src/gateway/UpstreamList.cpp
+++ b/src/gateway/UpstreamList.cpp
@@ -123,7 +123,7 @@
         m_records.dropConnections(upstream.id);
     }
     if (m_records.cold().note(upstream.incarnation(), upstream.coldLeft, now)) {
-        LogCold(upstream, m_records.coldShare().takesPart(upstream.id, now), source);
+        LogCold(upstream, m_records.coldShare().maySend(upstream.id, now), source);
     }
     // The first list is one line: a box of a large site would log for a second otherwise.
     if (m_listed) {
--- a/tests/ColdShareTest.cpp
+++ b/tests/ColdShareTest.cpp
@@ -86,7 +86,7 @@
 
 private:
     bool mayGo(const Box& box) const {
-        return box.share.takesPart(kUpstream.id, m_now) &&
+        return box.share.maySend(kUpstream.id, m_now) &&
                box.cold.waitFor(kUpstream, box.share.spacing(kLimit), m_now) == 0;
     }
 
@@ -147,14 +147,14 @@
 
 TEST_CASE("A box that has just started or is linked to none sends a cold upstream nothing") {
     ColdShare share;
-    CHECK_FALSE(share.takesPart("a", {0}));
+    CHECK_FALSE(share.maySend("a", {0}));
     share.setBoxes("self", {}, {0});
-    CHECK_FALSE(share.takesPart("a", {ColdShare::kDiscoveryTime - 1}));
-    CHECK(share.takesPart("a", {ColdShare::kDiscoveryTime}));
+    CHECK_FALSE(share.maySend("a", {ColdShare::kDiscoveryTime - 1}));
+    CHECK(share.maySend("a", {ColdShare::kDiscoveryTime}));
     share.setBoxes("self", {"other"}, {5000});
-    CHECK_FALSE(share.takesPart("a", {5000}));
+    CHECK_FALSE(share.maySend("a", {5000}));
     share.setLinked(1);
-    CHECK(share.takesPart("a", {5000}));
+    CHECK(share.maySend("a", {5000}));
 }
 
 TEST_CASE("A rate that leaves no margin is planned at half of what is allowed") {
