--- a/include/placement/UpstreamExclusion.h
+++ b/include/placement/UpstreamExclusion.h
@@ -18,23 +18,23 @@
 
 // Why an upstream is left out; the first that holds counts.
 enum class ExclusionReason : uint8_t {
-    kDraining,      // The list says so.
-    kLeaving,       // It said in an answer that it is about to end.
-    kOutsideHomes,  // It is in a region that the request's route or team may not be served in.
-    kEvacuated,     // The operators evacuate its availability zone.
-    kBackoff,       // It asked this box for no requests for a while.
-    kCold,          // This box has no part, or none left now, in what it bears while it is cold.
+    kDraining,          // The list says so.
+    kLeaving,           // It said in an answer that it is about to end.
+    kRegionNotAllowed,  // It is in a region that the request's route or team may not be served in.
+    kEvacuated,         // The operators evacuate its availability zone.
+    kBackoff,           // It asked this box for no requests for a while.
+    kCold,  // This box has no part, or none left now, in what it bears while it is cold.
 };
-inline constexpr size_t kExclusionReasons = 6;
+inline constexpr size_t kExclusionReasonCount = 6;
 
 // The reason as it stands in logs and metrics. Thread safety: any thread.
 std::string_view ExclusionReasonName(ExclusionReason reason);
 
 // What is known of an upstream, as far as it may be left out for it.
-struct UpstreamStanding {
+struct ExclusionInputs {
     bool draining = false;
     bool leaving = false;
-    bool outsideHomes = false;       // Of the request that asks.
+    bool regionNotAllowed = false;   // Of the request that asks.
     bool evacuated = false;          // Its zone is.
     std::optional<Millis> backoff;   // It wants no request for so long.
     std::optional<Millis> coldWait;  // It is cold, and this box waits so long; 0: no longer.
@@ -46,13 +46,14 @@
     std::optional<Millis> wait;  // For so long, if that is known.
 
     // Whether it is left out with its whole zone, until an operator changes that.
-    bool isOfZone() const {
-        return reason == ExclusionReason::kEvacuated || reason == ExclusionReason::kOutsideHomes;
+    bool isZoneWide() const {
+        return reason == ExclusionReason::kEvacuated ||
+               reason == ExclusionReason::kRegionNotAllowed;
     }
 };
 
 // Preconditions: none. Thread safety: any thread.
-std::optional<Exclusion> ExclusionOf(const UpstreamStanding& standing);
+std::optional<Exclusion> ExclusionOf(const ExclusionInputs& inputs);
 
 // How many upstreams of a service are left out, by reason, and when the first one is back.
 class ExclusionTally {
@@ -68,7 +69,7 @@
     std::string text() const;
 
 private:
-    std::array<size_t, kExclusionReasons> m_counts{};
+    std::array<size_t, kExclusionReasonCount> m_counts{};
     std::optional<Millis> m_wait;
 };
 
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -44,19 +44,19 @@
     return allows(question.routeHomes) && allows(question.teamHomes);
 }
 
-UpstreamStanding StandingOf(const Upstream& upstream, const PlacementKnowledge& knowledge,
-                            const PlacementQuestion& question, MonoTime now) {
+ExclusionInputs StandingOf(const Upstream& upstream, const PlacementKnowledge& knowledge,
+                           const PlacementQuestion& question, MonoTime now) {
     const UpstreamRecords& records = knowledge.records;
     const Incarnation incarnation = upstream.incarnation();
-    UpstreamStanding standing;
-    standing.draining = upstream.draining;
-    standing.leaving = records.avoidance().isLeaving(incarnation);
-    standing.backoff = records.avoidance().backoffLeft(incarnation, now);
-    standing.outsideHomes = !IsInHomes(upstream, knowledge.settings, question);
-    standing.evacuated = knowledge.evacuations.orders().isEvacuated(
+    ExclusionInputs inputs;
+    inputs.draining = upstream.draining;
+    inputs.leaving = records.avoidance().isLeaving(incarnation);
+    inputs.backoff = records.avoidance().backoffLeft(incarnation, now);
+    inputs.regionNotAllowed = !IsInHomes(upstream, knowledge.settings, question);
+    inputs.evacuated = knowledge.evacuations.orders().isEvacuated(
         upstream.zone, knowledge.upstreams.age(now), now);
-    standing.coldWait = ColdWaitFor(upstream, knowledge, question, now);
-    return standing;
+    inputs.coldWait = ColdWaitFor(upstream, knowledge, question, now);
+    return inputs;
 }
 
 // The upstreams of a service: those that a request may be sent to, and those that are left out for
@@ -77,7 +77,7 @@
         const auto exclusion = ExclusionOf(StandingOf(entry.upstream, knowledge, question, now));
         if (exclusion) {
             eligible.leftOut.add(*exclusion);
-            if (exclusion->isOfZone()) {
+            if (exclusion->isZoneWide()) {
                 eligible.zonesLeftOut.push_back(&entry.upstream);
             }
         } else {
--- a/src/gateway/RequestLog.cpp
+++ b/src/gateway/RequestLog.cpp
@@ -110,7 +110,7 @@
 }
 
 void RequestLog::leftOut(const std::string& request, const ExclusionTally& upstreams) {
-    for (size_t i = 0; i < kExclusionReasons; ++i) {
+    for (size_t i = 0; i < kExclusionReasonCount; ++i) {
         const auto reason = static_cast<ExclusionReason>(i);
         m_metrics.count("onyx_upstreams_left_out_total",
                         {{"reason", std::string(ExclusionReasonName(reason))}},
--- a/src/placement/UpstreamExclusion.cpp
+++ b/src/placement/UpstreamExclusion.cpp
@@ -11,7 +11,7 @@
             return "draining";
         case ExclusionReason::kLeaving:
             return "leaving";
-        case ExclusionReason::kOutsideHomes:
+        case ExclusionReason::kRegionNotAllowed:
             return "outside-homes";
         case ExclusionReason::kEvacuated:
             return "evacuated";
@@ -23,24 +23,24 @@
     return "invalid";
 }
 
-std::optional<Exclusion> ExclusionOf(const UpstreamStanding& standing) {
-    if (standing.draining) {
+std::optional<Exclusion> ExclusionOf(const ExclusionInputs& inputs) {
+    if (inputs.draining) {
         return Exclusion{ExclusionReason::kDraining, std::nullopt};
     }
-    if (standing.leaving) {
+    if (inputs.leaving) {
         return Exclusion{ExclusionReason::kLeaving, std::nullopt};
     }
-    if (standing.outsideHomes) {
-        return Exclusion{ExclusionReason::kOutsideHomes, std::nullopt};
+    if (inputs.regionNotAllowed) {
+        return Exclusion{ExclusionReason::kRegionNotAllowed, std::nullopt};
     }
-    if (standing.evacuated) {
+    if (inputs.evacuated) {
         return Exclusion{ExclusionReason::kEvacuated, std::nullopt};
     }
-    if (standing.backoff) {
-        return Exclusion{ExclusionReason::kBackoff, standing.backoff};
+    if (inputs.backoff) {
+        return Exclusion{ExclusionReason::kBackoff, inputs.backoff};
     }
-    if (standing.coldWait.value_or(0) > 0) {
-        return Exclusion{ExclusionReason::kCold, standing.coldWait};
+    if (inputs.coldWait.value_or(0) > 0) {
+        return Exclusion{ExclusionReason::kCold, inputs.coldWait};
     }
     return std::nullopt;
 }
--- a/tests/ColdUpstreamsTest.cpp
+++ b/tests/ColdUpstreamsTest.cpp
@@ -56,23 +56,23 @@
 
 TEST_CASE("The first reason that holds is the one that an upstream is left out for") {
     CHECK_FALSE(ExclusionOf({}));
-    UpstreamStanding standing;
-    standing.coldWait = 0;
-    CHECK_FALSE(ExclusionOf(standing));
-    standing.coldWait = 150;
-    CHECK(ExclusionOf(standing)->reason == ExclusionReason::kCold);
-    CHECK(ExclusionOf(standing)->wait == 150);
-    standing.backoff = 4000;
-    CHECK(ExclusionOf(standing)->reason == ExclusionReason::kBackoff);
-    standing.evacuated = true;
-    CHECK(ExclusionOf(standing)->reason == ExclusionReason::kEvacuated);
-    standing.outsideHomes = true;
-    CHECK(ExclusionOf(standing)->reason == ExclusionReason::kOutsideHomes);
-    standing.leaving = true;
-    CHECK(ExclusionOf(standing)->reason == ExclusionReason::kLeaving);
-    CHECK_FALSE(ExclusionOf(standing)->wait);
-    standing.draining = true;
-    CHECK(ExclusionOf(standing)->reason == ExclusionReason::kDraining);
+    ExclusionInputs inputs;
+    inputs.coldWait = 0;
+    CHECK_FALSE(ExclusionOf(inputs));
+    inputs.coldWait = 150;
+    CHECK(ExclusionOf(inputs)->reason == ExclusionReason::kCold);
+    CHECK(ExclusionOf(inputs)->wait == 150);
+    inputs.backoff = 4000;
+    CHECK(ExclusionOf(inputs)->reason == ExclusionReason::kBackoff);
+    inputs.evacuated = true;
+    CHECK(ExclusionOf(inputs)->reason == ExclusionReason::kEvacuated);
+    inputs.regionNotAllowed = true;
+    CHECK(ExclusionOf(inputs)->reason == ExclusionReason::kRegionNotAllowed);
+    inputs.leaving = true;
+    CHECK(ExclusionOf(inputs)->reason == ExclusionReason::kLeaving);
+    CHECK_FALSE(ExclusionOf(inputs)->wait);
+    inputs.draining = true;
+    CHECK(ExclusionOf(inputs)->reason == ExclusionReason::kDraining);
 }
 
 TEST_CASE("A tally of what is left out names the reasons and the shortest wait") {
