--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -138,8 +138,8 @@
     }
     // Loads that upstreams reported, as other boxes pass them on, and what is to be passed on to
     // them. Preconditions: times do not fall.
-    void notePassedReport(const LoadReport& report, MonoTime now) {
-        m_loads.notePassedReport(report, now);
+    void noteForwardedReport(const LoadReport& report, MonoTime now) {
+        m_loads.noteForwardedReport(report, now);
     }
     bool hasDueReports(MonoTime now) const { return m_loads.hasDueReports(now); }
     std::vector<LoadReport> takeDueReports(size_t most, MonoTime now) {
--- a/include/placement/UpstreamLoads.h
+++ b/include/placement/UpstreamLoads.h
@@ -1,6 +1,6 @@
 // How loaded each upstream is, an input of ChooseUpstream: this box's own requests there, and what
 // the upstream's answers report of all boxes' requests, whether this box had the answer or another
-// box passed the report on. Decides which reports are worth passing on.
+// box lastForwarded the report on. Decides which reports are worth passing on.
 //
 // A report holds for all boxes, has no part that was guessed, and comes the more often the more an
 // upstream is given. Of two reports the newer one counts, so that it does not matter over which
@@ -35,7 +35,7 @@
     static constexpr Millis kReportAge = 1000;
     // In milliseconds. An older report still tells how much comes to its upstream (LoadEstimate);
     // it is forgotten after this long.
-    static constexpr Millis kReportMemory = 4000;
+    static constexpr Millis kReportRetention = 4000;
 
     // Counts a request that is sent to `upstream`. Preconditions: none.
     void enter(const std::string& upstream);
@@ -46,16 +46,17 @@
     // Takes in the load that an answer reports. Preconditions: times do not fall.
     void noteReportedLoad(const std::string& upstream, int load, MonoTime now);
 
-    // Takes in a report that another box passed on; one that is not newer changes nothing.
+    // Takes in a report that another box lastForwarded on; one that is not newer changes nothing.
     // Preconditions: as above.
-    void notePassedReport(const LoadReport& report, MonoTime now);
+    void noteForwardedReport(const LoadReport& report, MonoTime now);
 
-    // Whether there is a report to be passed on. Preconditions: as above.
+    // Whether there is a report to be lastForwarded on. Preconditions: as above.
     bool hasDueReports(MonoTime now) const;
 
-    // The reports to be passed on, the fullest upstreams first, at most `most` of them: each once,
-    // and of an upstream whose load hardly changed not too often. Preconditions: as above.
-    std::vector<LoadReport> takeDueReports(size_t most, MonoTime now);
+    // The reports to be lastForwarded on, the fullest upstreams first, at maxCount `maxCount` of
+    // them: each once, and of an upstream whose load hardly changed not too often. Preconditions:
+    // as above.
+    std::vector<LoadReport> takeDueReports(size_t maxCount, MonoTime now);
 
     // This box's requests there. Preconditions: none.
     int own(const std::string& upstream) const;
@@ -65,7 +66,7 @@
     std::optional<int> reported(const std::string& upstream, MonoTime now) const;
 
     // The newest report, with this box's changes since; nothing if there is none of the last
-    // kReportMemory. Preconditions: as above.
+    // kReportRetention. Preconditions: as above.
     std::optional<AgedReport> lastReport(const std::string& upstream, MonoTime now) const;
 
     // How old the newest report of `upstream` is, in milliseconds; nothing if there is none.
@@ -89,29 +90,29 @@
 private:
     struct Report {
         int load = 0;
-        int foreign = 0;  // Of other boxes.
+        int otherBoxes = 0;  // Of other boxes.
         MonoTime asOf;
     };
-    struct Passed {
+    struct Forwarded {
         int load = 0;
         MonoTime at;
     };
     struct Record {
         int own = 0;
         std::optional<Report> report;
-        bool pending = false;          // The report was not passed on yet.
-        std::optional<Passed> passed;  // What was passed on last.
+        bool unforwarded = false;                // The report was not lastForwarded on yet.
+        std::optional<Forwarded> lastForwarded;  // What was lastForwarded on last.
     };
 
     const Record* find(const std::string& upstream) const;
-    void take(const LoadReport& report);
+    void store(const LoadReport& report);
     bool isDue(const Record& record, MonoTime now) const;
-    void dropOld(MonoTime now);
+    void dropExpired(MonoTime now);
 
-    bool isNotable(int load) const;
+    bool isHighLoad(int load) const;
 
     std::unordered_map<uint32_t, Record> m_records;  // By upstream number.
-    double m_usual = 0;  // What this box's own answers report: a moving mean, in requests.
+    double m_typicalLoad = 0;  // What this box's own answers report: a moving mean, in requests.
 };
 
 }  // namespace onyx
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -197,7 +197,8 @@
         const auto& entry = reports.reports[i];
         // The way here counts as nothing: some milliseconds.
         if (m_records.isCurrent(entry.upstream(), TagAt(reports.starts, i))) {
-            m_records.notePassedReport({entry.upstream(), entry.load(), now - entry.age_ms()}, now);
+            m_records.noteForwardedReport({entry.upstream(), entry.load(), now - entry.age_ms()},
+                                          now);
         }
     }
 }
--- a/src/placement/UpstreamLoads.cpp
+++ b/src/placement/UpstreamLoads.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-// In requests. A load that changed by less is passed on only now and then.
-constexpr int kNotableChange = 2;
-// In milliseconds. How often a load that hardly changed is passed on.
-constexpr Millis kPassAgain = 250;
-// In milliseconds. An older report is not passed on: a newer one is on its way.
-constexpr Millis kMaxPassedAge = 700;
+// In requests. A load that changed by less is lastForwarded on only now and then.
+constexpr int kSignificantChange = 2;
+// In milliseconds. How often a load that hardly changed is lastForwarded on.
+constexpr Millis kForwardInterval = 250;
+// In milliseconds. An older report is not lastForwarded on: a newer one is on its way.
+constexpr Millis kMaxForwardedAge = 700;
 // The own answers over which the usual load is taken: some two seconds of a box of many.
-constexpr double kUsualReports = 16;
-// In requests over the usual load. From here on a report is passed on: others have to know of the
-// upstreams that are nearly full, and the budget is short.
-constexpr double kNotableLoad = 2;
+constexpr double kTypicalLoadSamples = 16;
+// In requests over the usual load. From here on a report is lastForwarded on: others have to know
+// of the upstreams that are nearly full, and the budget is short.
+constexpr double kHighLoadMargin = 2;
 
 }  // namespace
 
@@ -36,41 +36,41 @@
 
 void UpstreamLoads::noteReportedLoad(const std::string& upstream, int load, MonoTime now) {
     const uint32_t number = ShortHash(upstream);
-    m_usual += (load - m_usual) / kUsualReports;
-    take({number, load, now});
+    m_typicalLoad += (load - m_typicalLoad) / kTypicalLoadSamples;
+    store({number, load, now});
 }
 
-void UpstreamLoads::notePassedReport(const LoadReport& report, MonoTime now) {
+void UpstreamLoads::noteForwardedReport(const LoadReport& report, MonoTime now) {
     if (now - report.asOf <= kReportAge) {
-        take(report);
+        store(report);
     }
 }
 
-void UpstreamLoads::take(const LoadReport& report) {
+void UpstreamLoads::store(const LoadReport& report) {
     Record& record = m_records[report.upstream];
     if (record.report && record.report->asOf >= report.asOf) {
         return;
     }
     record.report = {report.load, std::max(0, report.load - record.own), report.asOf};
-    record.pending = true;
+    record.unforwarded = true;
 }
 
-bool UpstreamLoads::isNotable(int load) const {
-    return load >= m_usual + kNotableLoad;
+bool UpstreamLoads::isHighLoad(int load) const {
+    return load >= m_typicalLoad + kHighLoadMargin;
 }
 
 bool UpstreamLoads::isDue(const Record& record, MonoTime now) const {
-    if (!record.pending || now - record.report->asOf > kMaxPassedAge) {
+    if (!record.unforwarded || now - record.report->asOf > kMaxForwardedAge) {
         return false;
     }
     // Boxes that were told of a full upstream are told also that it is no longer.
-    const bool corrects =
-        record.passed && now - record.passed->at <= kReportAge && isNotable(record.passed->load);
-    if (!isNotable(record.report->load) && !corrects) {
+    const bool corrects = record.lastForwarded && now - record.lastForwarded->at <= kReportAge &&
+                          isHighLoad(record.lastForwarded->load);
+    if (!isHighLoad(record.report->load) && !corrects) {
         return false;
     }
-    return !record.passed || now - record.passed->at >= kPassAgain ||
-           std::abs(record.report->load - record.passed->load) >= kNotableChange;
+    return !record.lastForwarded || now - record.lastForwarded->at >= kForwardInterval ||
+           std::abs(record.report->load - record.lastForwarded->load) >= kSignificantChange;
 }
 
 bool UpstreamLoads::hasDueReports(MonoTime now) const {
@@ -78,8 +78,8 @@
                        [&](const auto& entry) { return isDue(entry.second, now); });
 }
 
-std::vector<LoadReport> UpstreamLoads::takeDueReports(size_t most, MonoTime now) {
-    dropOld(now);
+std::vector<LoadReport> UpstreamLoads::takeDueReports(size_t maxCount, MonoTime now) {
+    dropExpired(now);
     std::vector<LoadReport> due;
     for (const auto& [number, record] : m_records) {
         if (isDue(record, now)) {
@@ -91,20 +91,20 @@
     std::sort(due.begin(), due.end(), [](const LoadReport& a, const LoadReport& b) {
         return a.load != b.load ? a.load > b.load : a.upstream < b.upstream;
     });
-    due.resize(std::min(most, due.size()));
+    due.resize(std::min(maxCount, due.size()));
     for (const LoadReport& report : due) {
         Record& record = m_records[report.upstream];
-        record.pending = false;
-        record.passed = {report.load, now};
+        record.unforwarded = false;
+        record.lastForwarded = {report.load, now};
     }
     return due;
 }
 
-// What other boxes passed on of upstreams that this one never used would stay for good.
-void UpstreamLoads::dropOld(MonoTime now) {
+// What other boxes lastForwarded on of upstreams that this one never used would stay for good.
+void UpstreamLoads::dropExpired(MonoTime now) {
     std::erase_if(m_records, [&](const auto& entry) {
         const Record& record = entry.second;
-        return record.own == 0 && record.report && now - record.report->asOf > kReportMemory;
+        return record.own == 0 && record.report && now - record.report->asOf > kReportRetention;
     });
 }
 
@@ -123,17 +123,17 @@
     if (record == nullptr || !record->report || now - record->report->asOf > kReportAge) {
         return std::nullopt;
     }
-    return record->own + record->report->foreign;
+    return record->own + record->report->otherBoxes;
 }
 
 std::optional<AgedReport> UpstreamLoads::lastReport(const std::string& upstream,
                                                     MonoTime now) const {
     const Record* record = find(upstream);
-    if (record == nullptr || !record->report || now - record->report->asOf > kReportMemory) {
+    if (record == nullptr || !record->report || now - record->report->asOf > kReportRetention) {
         return std::nullopt;
     }
     const Report& report = *record->report;
-    return AgedReport{record->own + report.foreign, std::max<Millis>(0, now - report.asOf)};
+    return AgedReport{record->own + report.otherBoxes, std::max<Millis>(0, now - report.asOf)};
 }
 
 std::optional<Millis> UpstreamLoads::reportAge(const std::string& upstream, MonoTime now) const {
--- a/tests/UpstreamLoadsTest.cpp
+++ b/tests/UpstreamLoadsTest.cpp
@@ -26,15 +26,15 @@
     UpstreamLoads loads;
     const uint32_t number = ShortHash("a");
     loads.noteReportedLoad("a", 5, {1000});
-    loads.notePassedReport({number, 9, {900}}, {1010});
+    loads.noteForwardedReport({number, 9, {900}}, {1010});
     CHECK(loads.reported("a", {1010}) == 5);
-    loads.notePassedReport({number, 7, {1005}}, {1020});
+    loads.noteForwardedReport({number, 7, {1005}}, {1020});
     CHECK(loads.reported("a", {1020}) == 7);
     // This box's requests since the report come on top.
     loads.enter("a");
     CHECK(loads.reported("a", {1020}) == 8);
     // A report is as old as it says, however late it comes.
-    loads.notePassedReport({ShortHash("b"), 4, {0}}, {UpstreamLoads::kReportAge + 1});
+    loads.noteForwardedReport({ShortHash("b"), 4, {0}}, {UpstreamLoads::kReportAge + 1});
     CHECK_FALSE(loads.reported("b", {UpstreamLoads::kReportAge + 1}));
     CHECK_FALSE(loads.reported("a", {1005 + UpstreamLoads::kReportAge + 1}));
 }
@@ -42,7 +42,7 @@
 TEST_CASE("A report is passed on once, the fullest upstream first, its own and others'") {
     UpstreamLoads loads;
     loads.noteReportedLoad("a", 5, {1000});
-    loads.notePassedReport({ShortHash("b"), 9, {990}}, {1000});
+    loads.noteForwardedReport({ShortHash("b"), 9, {990}}, {1000});
     loads.noteReportedLoad("c", 7, {1000});
     const auto first = loads.takeDueReports(2, {1000});
     REQUIRE(first.size() == 2);
@@ -67,14 +67,14 @@
 TEST_CASE("Reports of upstreams that this box never used do not pile up") {
     UpstreamLoads loads;
     for (uint32_t number = 0; number < 1000; ++number) {
-        loads.notePassedReport({number, 9, {1000}}, {1000});
+        loads.noteForwardedReport({number, 9, {1000}}, {1000});
     }
     CHECK(loads.takeDueReports(2000, {1000}).size() == 1000);
     loads.enter("a");
     CHECK(loads.takeDueReports(2000, {5000}).empty());
     CHECK(loads.counts().size() == 1);
     // A report that comes once more is due again: nothing of it was kept.
-    loads.notePassedReport({7, 9, {5000}}, {5000});
+    loads.noteForwardedReport({7, 9, {5000}}, {5000});
     CHECK(loads.takeDueReports(2000, {5000}).size() == 1);
 }
 
@@ -86,7 +86,7 @@
     loads.noteReportedLoad("a", 4, {1000});
     CHECK(loads.reportAge("a", {1300}) == Millis{300});
     // An older one that another box passes on changes nothing.
-    loads.notePassedReport({ShortHash("a"), 9, {900}}, {1400});
+    loads.noteForwardedReport({ShortHash("a"), 9, {900}}, {1400});
     CHECK(loads.reportAge("a", {1400}) == Millis{400});
     // It is told also when it is too old to count.
     CHECK(loads.reportAge("a", {9000}) == Millis{8000});
