--- a/include/placement/UpstreamLoads.h
+++ b/include/placement/UpstreamLoads.h
@@ -85,7 +85,7 @@
 
     // Forgets an upstream's requests and reports: it has started again, and those requests have
     // ended there. leave() is not to be called for them. Preconditions: none.
-    void endLife(const std::string& upstream) { m_records.erase(ShortHash(upstream)); }
+    void reset(const std::string& upstream) { m_records.erase(ShortHash(upstream)); }
 
 private:
     struct Report {
