--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -83,7 +83,7 @@
     // The start that is known of an upstream; 0: none. Preconditions: none.
     int64_t startOf(const std::string& id) const;
     // Whether what another box says of an upstream, by its number, is of the incarnation that is
-    // known here. `tag`: its StartTag; 0, of a box that does not say: believed unless the upstream
+    // known here. `tag`: its StartTag; 0, of a box that does not say: validFor unless the upstream
     // was seen to start again. Preconditions: none.
     bool isCurrent(uint32_t number, uint8_t tag) const;
     // The tag that this box sends with a number. Preconditions: none.
@@ -130,11 +130,11 @@
     bool hasAnnouncements() const { return m_caches.hasAnnouncements(); }
     std::vector<CacheHolding> takeAnnouncements() { return m_caches.takeAnnouncements(); }
 
-    // What another box announces; its loads count for `believed` milliseconds.
-    // Preconditions: believed > 0; times do not fall.
+    // What another box announces; its loads count for `validFor` milliseconds.
+    // Preconditions: validFor > 0; times do not fall.
     void notePeerLoads(const std::string& box, PeerCounts::Counts counts, MonoTime now,
-                       Millis believed) {
-        m_peerCounts.take(box, std::move(counts), now, believed);
+                       Millis validFor) {
+        m_peerCounts.take(box, std::move(counts), now, validFor);
     }
     // Loads that upstreams reported, as other boxes pass them on, and what is to be passed on to
     // them. Preconditions: times do not fall.
@@ -146,7 +146,7 @@
         return m_loads.takeDueReports(most, now);
     }
     void noteHolding(const CacheHolding& holding, MonoTime now) { m_caches.learn(holding, now); }
-    // Forgets the loads of a box whose link is gone, and those that are no longer believed.
+    // Forgets the loads of a box whose link is gone, and those that are no longer validFor.
     // Preconditions: none.
     void forgetPeer(const std::string& box) { m_peerCounts.forget(box); }
     void expirePeerLoads(MonoTime now) { m_peerCounts.expire(now); }
--- a/include/placement/PeerCounts.h
+++ b/include/placement/PeerCounts.h
@@ -18,9 +18,9 @@
 public:
     using Counts = std::vector<std::pair<uint32_t, int>>;  // By upstream number.
 
-    // Takes in a box's digest, in place of its last; it counts for `believed`.
-    // Preconditions: believed > 0.
-    void take(const std::string& box, Counts counts, MonoTime now, Millis believed);
+    // Takes in a box's digest, in place of its last; it counts for `validFor`.
+    // Preconditions: validFor > 0.
+    void take(const std::string& box, Counts counts, MonoTime now, Millis validFor);
 
     // Forgets a box whose link is gone. Preconditions: none.
     void forget(const std::string& box);
@@ -29,15 +29,15 @@
     // Preconditions: none.
     void forgetUpstream(uint32_t upstream);
 
-    // Forgets the digests that are no longer believed. Preconditions: times do not fall.
+    // Forgets the digests that are no longer validFor. Preconditions: times do not fall.
     void expire(MonoTime now);
 
     // The site has `boxes`, this one included; of the others the part `share` announce their counts
     // here once all links stand. In a small site all do.
     // Preconditions: 0 < share <= 1, boxes > 0.
     void setSite(size_t boxes, double share) {
-        m_siteBoxes = boxes;
-        m_share = share;
+        m_siteSize = boxes;
+        m_announcingShare = share;
     }
 
     // The part of all boxes that is counted, this one included: those heard of lately. Less than
@@ -46,7 +46,7 @@
     double countedShare() const;
 
     // Whether some of the other boxes announce nothing here. Preconditions: none.
-    bool isSample() const { return m_share < 1; }
+    bool isSample() const { return m_announcingShare < 1; }
 
     // Requests that the boxes that announce here have in flight at `upstream`. Preconditions: none.
     int at(const std::string& upstream) const;
@@ -64,8 +64,8 @@
 
     std::map<std::string, Digest> m_boxes;
     std::unordered_map<uint32_t, int> m_sums;  // Over all boxes that announce.
-    double m_share = 1;
-    size_t m_siteBoxes = 1;
+    double m_announcingShare = 1;
+    size_t m_siteSize = 1;
 };
 
 }  // namespace onyx
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -17,7 +17,7 @@
 constexpr Millis kDigestPeriod = 100;
 constexpr Millis kDigestRenewal =
     500;  // A digest without changes, which shows that this box lives.
-// Digests of a box are believed for this many of the periods that it announces, and for a while at
+// Digests of a box are validFor for this many of the periods that it announces, and for a while at
 // least: one may be lost or late.
 constexpr Millis kPeriodsBelieved = 3;
 constexpr Millis kMinBelieved = 1200;
@@ -218,8 +218,8 @@
         }
     }
     const auto period = static_cast<Millis>(digest.next_ms);
-    const Millis believed = std::max(kMinBelieved, kPeriodsBelieved * period);
-    m_records.notePeerLoads(from, std::move(counts), now, believed);
+    const Millis validFor = std::max(kMinBelieved, kPeriodsBelieved * period);
+    m_records.notePeerLoads(from, std::move(counts), now, validFor);
 }
 
 }  // namespace onyx
--- a/src/placement/PeerCounts.cpp
+++ b/src/placement/PeerCounts.cpp
@@ -6,12 +6,12 @@
 
 namespace onyx {
 
-void PeerCounts::take(const std::string& box, Counts counts, MonoTime now, Millis believed) {
+void PeerCounts::take(const std::string& box, Counts counts, MonoTime now, Millis validFor) {
     forget(box);
     for (const auto& [upstream, count] : counts) {
         m_sums[upstream] += count;
     }
-    m_boxes[box] = {now + believed, std::move(counts)};
+    m_boxes[box] = {now + validFor, std::move(counts)};
 }
 
 void PeerCounts::forget(const std::string& box) {
@@ -54,7 +54,7 @@
 
 double PeerCounts::countedShare() const {
     const auto counted = static_cast<double>(m_boxes.size() + 1);
-    return std::min(1.0, counted / static_cast<double>(m_siteBoxes));
+    return std::min(1.0, counted / static_cast<double>(m_siteSize));
 }
 
 int PeerCounts::at(const std::string& upstream) const {
--- a/tests/LoadEstimateTest.cpp
+++ b/tests/LoadEstimateTest.cpp
@@ -41,7 +41,7 @@
 // its prompt, on a day without trouble; the prompt was copied to another upstream each time, or
 // read anew. How: a box hears a ninth of the others. A single request among these counted as nine.
 // Cause: the count was scaled up by the part that was heard, as if it had no error.
-// Proof: all boxes' logs; where requests left, the upstream they left was believed to be full by
+// Proof: all boxes' logs; where requests left, the upstream they left was validFor to be full by
 // such a count in 99 of 100 cases, and the upstreams' real load was the same as anywhere.
 TEST_CASE("One request that is heard of makes no upstream seem full") {
     constexpr double kShare = 33.0 / 295;
