--- a/include/placement/LoadEstimate.h
+++ b/include/placement/LoadEstimate.h
@@ -9,10 +9,11 @@
 // up says 9 for a single request: one request in six left the upstream that holds its prompt, by
 // chance alone, and its prompt was copied to another one each time.
 //
-// The grounds: requests come to an upstream at a rate of its own, which differs between upstreams
-// since some prompts are asked for more. If rates spread by a gamma distribution around the mean of
-// the service, what the other boxes have given the count is known (Gelman et al., Bayesian Data
-// Analysis, 2.6): little more than the mean, the more of the count the larger the counted part.
+// The grounds: requests come to an upstream at a expectedLoad of its own, which differs between
+// upstreams since some prompts are asked for more. If rates spread by a gamma distribution around
+// the mean of the service, what the other boxes have given the count is known (Gelman et al.,
+// Bayesian Data Analysis, 2.6): little more than the mean, the more of the count the larger the
+// counted part.
 #pragma once
 
 #include "include/base/Time.h"
@@ -34,8 +35,8 @@
     // Shape of the rates' distribution: the inverse of the square of their relative spread.
     static constexpr double kRateShape = 4;
     // In milliseconds. How long a request stays, about: what a report counted has then mostly
-    // ended, and what came since is known by its rate only.
-    static constexpr Millis kRequestTime = 1000;
+    // ended, and what came since is known by its expectedLoad only.
+    static constexpr Millis kMeanRequestTime = 1000;
 
     // `counted`: requests that the counted boxes have at each upstream of the service. `share`: the
     // part of all boxes that is counted. Preconditions: 0 < share <= 1.
@@ -52,10 +53,10 @@
     double fromReport(const AgedReport& report) const;
 
 private:
-    // The rate that `seen` requests speak for where the part `exposure` of all could be seen, in
-    // requests that are there at a time.
-    double rate(int seen, double exposure) const {
-        return (kRateShape + seen) / (kRateShape / m_mean + exposure);
+    // The expectedLoad that `observed` requests speak for where the part `observedShare` of all
+    // could be observed, in requests that are there at a time.
+    double expectedLoad(int observed, double observedShare) const {
+        return (kRateShape + observed) / (kRateShape / m_mean + observedShare);
     }
 
     double m_share;
--- a/src/placement/LoadEstimate.cpp
+++ b/src/placement/LoadEstimate.cpp
@@ -16,16 +16,16 @@
     if (m_mean <= 0) {
         return counted;
     }
-    return counted + (1 - m_share) * rate(counted, m_share);
+    return counted + (1 - m_share) * expectedLoad(counted, m_share);
 }
 
 double LoadEstimate::fromReport(const AgedReport& report) const {
     if (m_mean <= 0) {
         return report.load;
     }
-    const double stayed =
-        std::exp(-static_cast<double>(report.age) / static_cast<double>(kRequestTime));
-    return stayed * report.load + (1 - stayed) * rate(report.load, 1);
+    const double remaining =
+        std::exp(-static_cast<double>(report.age) / static_cast<double>(kMeanRequestTime));
+    return remaining * report.load + (1 - remaining) * expectedLoad(report.load, 1);
 }
 
 }  // namespace onyx
