--- a/include/placement/CacheDirectory.h
+++ b/include/placement/CacheDirectory.h
@@ -34,7 +34,7 @@
 struct CacheCandidate {
     std::string_view id;
     bool reachable = true;  // Not ejected; one that drains may still be asked.
-    bool settled = true;    // Known for CacheDirectory::kSettledAfter at least.
+    bool settled = true;    // Known for CacheDirectory::kSettledAge at least.
 };
 
 // Why an upstream is fetched from, for the log.
@@ -61,9 +61,9 @@
     // In milliseconds. What was seen longer ago is likely evicted.
     static constexpr Millis kMaxAge = 60000;
     // In milliseconds. After this long an upstream holds what recent prompts share.
-    static constexpr Millis kSettledAfter = 12000;
+    static constexpr Millis kSettledAge = 12000;
     // Holdings that wait to be announced; beyond them the oldest are dropped. 4 KB of a digest.
-    static constexpr size_t kMaxWaiting = 512;
+    static constexpr size_t kMaxPendingAnnouncements = 512;
 
     // Preconditions: both > 0.
     explicit CacheDirectory(size_t capacity = kCapacity, Millis maxAge = kMaxAge)
@@ -77,7 +77,7 @@
     void learn(const CacheHolding& holding, MonoTime now);
 
     // Whether there is something to announce. Preconditions: none.
-    bool hasAnnouncements() const { return !m_waiting.empty(); }
+    bool hasAnnouncements() const { return !m_pendingAnnouncements.empty(); }
 
     // What is to be announced since the last call. Preconditions: none.
     std::vector<CacheHolding> takeAnnouncements();
@@ -105,21 +105,21 @@
     };
     struct Part {
         std::vector<Holder> holders;
-        std::list<uint32_t>::iterator position;
+        std::list<uint32_t>::iterator lruPosition;
     };
 
     // Records a holder; true if it was not known, or only from long ago.
     bool record(const CacheHolding& holding, MonoTime now);
     bool holds(uint32_t part, uint32_t upstream, MonoTime now) const;
-    std::optional<size_t> knownHolder(uint32_t part, std::string_view chosen,
-                                      std::span<const CacheCandidate> candidates,
-                                      MonoTime now) const;
+    std::optional<size_t> findHolder(uint32_t part, std::string_view chosen,
+                                     std::span<const CacheCandidate> candidates,
+                                     MonoTime now) const;
 
     size_t m_capacity;
     Millis m_maxAge;
     std::unordered_map<uint32_t, Part> m_parts;
-    std::list<uint32_t> m_order;  // Least lately used first.
-    std::vector<CacheHolding> m_waiting;
+    std::list<uint32_t> m_lru;  // Least lately used first.
+    std::vector<CacheHolding> m_pendingAnnouncements;
 };
 
 }  // namespace onyx
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -205,7 +205,7 @@
             !IsInHomes(entry.upstream, settings, question)) {
             continue;
         }
-        const bool settled = now - entry.since >= CacheDirectory::kSettledAfter;
+        const bool settled = now - entry.since >= CacheDirectory::kSettledAge;
         candidates.push_back({id, !records.isEjected(id, now), settled});
         holders.push_back(&entry.upstream);
     }
--- a/src/placement/CacheDirectory.cpp
+++ b/src/placement/CacheDirectory.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 // The settled candidate that prompts with this last part prefer.
-std::optional<size_t> SettledPreference(std::string_view lastPart,
-                                        std::span<const CacheCandidate> candidates) {
+std::optional<size_t> PreferredSettledCandidate(std::string_view lastPart,
+                                                std::span<const CacheCandidate> candidates) {
     return BestByRendezvous(
         HashText(lastPart), candidates.size(), [&](size_t i) { return candidates[i].id; },
         [&](size_t i) { return candidates[i].settled; });
@@ -34,10 +34,10 @@
 bool CacheDirectory::record(const CacheHolding& holding, MonoTime now) {
     auto it = m_parts.find(holding.part);
     if (it == m_parts.end()) {
-        m_order.push_back(holding.part);
-        it = m_parts.emplace(holding.part, Part{{}, std::prev(m_order.end())}).first;
+        m_lru.push_back(holding.part);
+        it = m_parts.emplace(holding.part, Part{{}, std::prev(m_lru.end())}).first;
     } else {
-        m_order.splice(m_order.end(), m_order, it->second.position);
+        m_lru.splice(m_lru.end(), m_lru, it->second.lruPosition);
     }
     std::vector<Holder>& holders = it->second.holders;
     std::erase_if(holders, [&](const Holder& holder) { return now - holder.seen > m_maxAge; });
@@ -51,8 +51,8 @@
         known->seen = now;
     }
     while (m_parts.size() > m_capacity) {
-        m_parts.erase(m_order.front());
-        m_order.pop_front();
+        m_parts.erase(m_lru.front());
+        m_lru.pop_front();
     }
     return isNew;
 }
@@ -63,12 +63,14 @@
     for (const std::string& name : parts) {
         const CacheHolding holding{ShortHash(name), holder};
         if (record(holding, now)) {
-            m_waiting.push_back(holding);
+            m_pendingAnnouncements.push_back(holding);
         }
     }
-    if (m_waiting.size() > kMaxWaiting) {
-        const auto surplus = static_cast<std::ptrdiff_t>(m_waiting.size() - kMaxWaiting);
-        m_waiting.erase(m_waiting.begin(), m_waiting.begin() + surplus);
+    if (m_pendingAnnouncements.size() > kMaxPendingAnnouncements) {
+        const auto surplus =
+            static_cast<std::ptrdiff_t>(m_pendingAnnouncements.size() - kMaxPendingAnnouncements);
+        m_pendingAnnouncements.erase(m_pendingAnnouncements.begin(),
+                                     m_pendingAnnouncements.begin() + surplus);
     }
 }
 
@@ -81,12 +83,12 @@
         std::erase_if(part.holders,
                       [&](const Holder& holder) { return holder.upstream == upstream; });
     }
-    std::erase_if(m_waiting,
+    std::erase_if(m_pendingAnnouncements,
                   [&](const CacheHolding& holding) { return holding.upstream == upstream; });
 }
 
 std::vector<CacheHolding> CacheDirectory::takeAnnouncements() {
-    return std::exchange(m_waiting, {});
+    return std::exchange(m_pendingAnnouncements, {});
 }
 
 bool CacheDirectory::holds(uint32_t part, uint32_t upstream, MonoTime now) const {
@@ -111,9 +113,9 @@
     return upstreams;
 }
 
-std::optional<size_t> CacheDirectory::knownHolder(uint32_t part, std::string_view chosen,
-                                                  std::span<const CacheCandidate> candidates,
-                                                  MonoTime now) const {
+std::optional<size_t> CacheDirectory::findHolder(uint32_t part, std::string_view chosen,
+                                                 std::span<const CacheCandidate> candidates,
+                                                 MonoTime now) const {
     if (!m_parts.contains(part)) {
         return std::nullopt;
     }
@@ -137,14 +139,14 @@
         if (holds(partHash, chosenHash, now)) {
             return std::nullopt;
         }
-        if (const auto known = knownHolder(partHash, chosen, candidates, now)) {
+        if (const auto known = findHolder(partHash, chosen, candidates, now)) {
             return CacheSource{*known,
                                last ? CacheSourceReason::kHolder : CacheSourceReason::kPrefix};
         }
         if (!last) {
             continue;
         }
-        const auto preferred = SettledPreference(*part, candidates);
+        const auto preferred = PreferredSettledCandidate(*part, candidates);
         if (preferred && candidates[*preferred].id != chosen && candidates[*preferred].reachable) {
             return CacheSource{*preferred, CacheSourceReason::kPreferred};
         }
--- a/tests/CacheDirectoryTest.cpp
+++ b/tests/CacheDirectoryTest.cpp
@@ -106,11 +106,11 @@
 
 TEST_CASE("Announcements that find no way out are bounded") {
     CacheDirectory caches(10000, 10000);
-    for (size_t i = 0; i < 2 * CacheDirectory::kMaxWaiting; ++i) {
+    for (size_t i = 0; i < 2 * CacheDirectory::kMaxPendingAnnouncements; ++i) {
         const std::vector<std::string> parts = {"part" + std::to_string(i)};
         caches.recordAnswer(parts, "a", {0});
     }
-    CHECK(caches.takeAnnouncements().size() == CacheDirectory::kMaxWaiting);
+    CHECK(caches.takeAnnouncements().size() == CacheDirectory::kMaxPendingAnnouncements);
 }
 
 TEST_CASE("The memory of parts is bounded") {
