--- a/include/placement/ChooseUpstream.h
+++ b/include/placement/ChooseUpstream.h
@@ -42,7 +42,7 @@
     // sharp bound would then be passed by all boxes at once, so each request draws its own, between
     // a little over the mean and the full one. What the first choice does not take is shared by
     // several upstreams, since the next in order would be filled by all boxes at once.
-    bool drawsBound = false;
+    bool randomizeBound = false;
     // Mean load of all upstreams, where it is known better than by the mean of the candidates'
     // loads: reports that are passed on are of full upstreams more often than of others.
     std::optional<double> meanLoad;
@@ -52,8 +52,8 @@
     // The place of this box among all boxes, in an order that they agree on.
     size_t boxRank = 0;
     // The share of the requests that ask for this prompt, as far as this box can tell: 0 to 1.
-    // With drawsBound, so many upstreams share the prompt that it brings each of them some quarter
-    // of the mean load, before any count shows it.
+    // With randomizeBound, so many upstreams share the prompt that it brings each of them some
+    // quarter of the mean load, before any count shows it.
     double promptShare = 0;
 };
 // For plain services: the own zone's upstreams first, the least loaded of them; full ones last.
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -185,7 +185,7 @@
         affinity->boxRank = records.boxRank();
     }
     if (affinity != nullptr && records.loadsAreSampled()) {
-        affinity->drawsBound = true;
+        affinity->randomizeBound = true;
         affinity->meanLoad = meanLoad;
         affinity->promptShare = records.promptShare(question.sharedParts, now);
     }
--- a/src/placement/ChooseUpstream.cpp
+++ b/src/placement/ChooseUpstream.cpp
@@ -14,29 +14,29 @@
 
 // The lowest bound that a request draws lies this far over the mean load, in requests. With less,
 // requests would leave an upstream that carries no more than the others.
-constexpr double kMinDrawnMargin = 1.0;
+constexpr double kMinRandomMargin = 1.0;
 // The same for a load that the upstream reported: less of it is chance, so that fewer requests
 // leave caches behind.
 constexpr double kMinReportedMargin = 3.0;
 // Upstreams share a prompt's requests if they carry no more than this over the mean each, in
 // requests: half of what the operators' limit leaves over the mean where upstreams are nearly idle.
-constexpr double kSharedMargin = 2.0;
+constexpr double kSpreadMargin = 2.0;
 // Where the service's mean is below this part of the mean of the upstreams in use, one in so many
 // requests goes to its first choice, the others to so many upstreams that their box shares with
 // few.
-constexpr double kTightPart = 0.9;
-constexpr uint64_t kTightDraws = 64;
-constexpr size_t kSubset = 8;
-// The part of the mean load that one prompt may bring an upstream, before sharersOf doubles their
-// number. The rest of the limit is for other prompts.
-constexpr double kMaxPromptPart = 0.5;
-constexpr int kDrawSteps = 1024;  // Between the lowest bound and the highest.
+constexpr double kReducedCapacityRatio = 0.9;
+constexpr uint64_t kFirstChoiceInterval = 64;
+constexpr size_t kSubsetSize = 8;
+// The part of the mean load that one prompt may bring an upstream, before spreadCandidates doubles
+// their number. The rest of the limit is for other prompts.
+constexpr double kMaxPromptLoadFraction = 0.5;
+constexpr int kBoundSteps = 1024;  // Between the lowest bound and the highest.
 
 using Indices = std::vector<size_t>;
 
 // Those of `from` for which `holds` is true, or all of them if it is true for none.
 template <class Condition>
-Indices Preferred(const Indices& from, Condition holds) {
+Indices FilterOrAll(const Indices& from, Condition holds) {
     Indices preferred;
     std::copy_if(from.begin(), from.end(), std::back_inserter(preferred), holds);
     return preferred.empty() ? from : preferred;
@@ -44,7 +44,7 @@
 
 // The first of `from` with the lowest rank. Preconditions: `from` is not empty.
 template <class Rank>
-size_t Lowest(const Indices& from, Rank rank) {
+size_t MinBy(const Indices& from, Rank rank) {
     return *std::min_element(from.begin(), from.end(),
                              [&](size_t a, size_t b) { return rank(a) < rank(b); });
 }
@@ -56,8 +56,8 @@
         : m_candidates(candidates), m_promptHash(promptHash), m_draw(draw) {
         Indices all(candidates.size());
         std::iota(all.begin(), all.end(), size_t{0});
-        m_eligible = Preferred(all, [&](size_t i) { return !m_candidates[i].tried; });
-        m_usable = Preferred(m_eligible, [&](size_t i) { return !m_candidates[i].ejected; });
+        m_eligible = FilterOrAll(all, [&](size_t i) { return !m_candidates[i].tried; });
+        m_usable = FilterOrAll(m_eligible, [&](size_t i) { return !m_candidates[i].ejected; });
     }
 
     PlacementChoice operator()(const AffinityPolicy& policy) const {
@@ -71,7 +71,7 @@
     }
 
     PlacementChoice operator()(const ZoneFirstPolicy&) const {
-        const size_t chosen = Lowest(m_usable, [&](size_t i) {
+        const size_t chosen = MinBy(m_usable, [&](size_t i) {
             const PlacementCandidate& c = m_candidates[i];
             return std::make_tuple(c.load >= c.slots, !c.sameZone, c.load, randomOrder(i));
         });
@@ -89,12 +89,13 @@
 
     size_t chooseInOrder(const AffinityPolicy& policy, const Indices& order, double mean,
                          const Bounds& bounds) const {
-        if (!policy.drawsBound) {
-            return nextWithRoom(order, bounds);
+        if (!policy.randomizeBound) {
+            return firstWithRoom(order, bounds);
         }
-        const size_t width = widthFor(policy.promptShare, order.size());
-        if (isTight(policy, mean)) {
-            return m_draw % kTightDraws == 0 ? order.front() : leastOwn(ownSubset(policy.boxRank));
+        const size_t width = spreadWidth(policy.promptShare, order.size());
+        if (isCapacityReduced(policy, mean)) {
+            return m_draw % kFirstChoiceInterval == 0 ? order.front()
+                                                      : leastOwnLoad(subsetForBox(policy.boxRank));
         }
         if (width == 1 && hasRoom(order.front(), bounds)) {
             return order.front();
@@ -103,8 +104,8 @@
         Indices holdersFirst = order;
         std::stable_partition(holdersFirst.begin() + 1, holdersFirst.end(),
                               [&](size_t i) { return m_candidates[i].holdsPrompt; });
-        return lesserOfTwo(Preferred(sharersOf(holdersFirst, mean, width),
-                                     [&](size_t i) { return hasRoom(i, bounds); }));
+        return lessLoadedOfTwo(FilterOrAll(spreadCandidates(holdersFirst, mean, width),
+                                           [&](size_t i) { return hasRoom(i, bounds); }));
     }
 
     int boundAt(size_t i, const Bounds& bounds) const {
@@ -118,17 +119,17 @@
 
     // Exact loads: the next in order that has room, so that few upstreams hold a prompt. Where none
     // has, the least loaded one queues it soonest.
-    size_t nextWithRoom(const Indices& order, const Bounds& bounds) const {
+    size_t firstWithRoom(const Indices& order, const Bounds& bounds) const {
         const auto room =
             std::find_if(order.begin(), order.end(), [&](size_t i) { return hasRoom(i, bounds); });
         return room != order.end() ? *room
-                                   : Lowest(order, [&](size_t i) { return m_candidates[i].load; });
+                                   : MinBy(order, [&](size_t i) { return m_candidates[i].load; });
     }
 
-    // How many upstreams would bear a prompt of this share if it brought each kMaxPromptPart of the
-    // mean load; 1 for a prompt that needs no sharing.
-    static size_t widthFor(double promptShare, size_t upstreams) {
-        const double width = promptShare * static_cast<double>(upstreams) / kMaxPromptPart;
+    // How many upstreams would bear a prompt of this share if it brought each
+    // kMaxPromptLoadFraction of the mean load; 1 for a prompt that needs no sharing.
+    static size_t spreadWidth(double promptShare, size_t upstreams) {
+        const double width = promptShare * static_cast<double>(upstreams) / kMaxPromptLoadFraction;
         return std::clamp(static_cast<size_t>(std::ceil(width)), size_t{1}, upstreams);
     }
 
@@ -136,26 +137,26 @@
     // than the mean together.
     // A single count may be far off, and all boxes would run after the same one; a sum over some
     // upstreams is much less so, and what they share brings none of them far.
-    Indices sharersOf(const Indices& order, double mean, size_t width) const {
+    Indices spreadCandidates(const Indices& order, double mean, size_t width) const {
         double sum = 0;
         do {
             width = std::min(2 * width, order.size());
             const auto add = [&](double total, size_t i) { return total + m_candidates[i].load; };
             sum = std::accumulate(order.begin(), at(order, width), 0.0, add);
-        } while (width < order.size() && sum > (mean + kSharedMargin) * static_cast<double>(width));
+        } while (width < order.size() && sum > (mean + kSpreadMargin) * static_cast<double>(width));
         return {order.begin(), at(order, width)};
     }
 
     // Whether the upstreams in use carry so much more than the service's mean, since others are
     // left out, that old counts are no help: all boxes would run after the same upstreams.
-    static bool isTight(const AffinityPolicy& policy, double mean) {
-        return policy.serviceMean && *policy.serviceMean < kTightPart * mean;
+    static bool isCapacityReduced(const AffinityPolicy& policy, double mean) {
+        return policy.serviceMean && *policy.serviceMean < kReducedCapacityRatio * mean;
     }
 
     // A few upstreams that this box shares with a few others: boxes in their order take the next
     // ones each, so that all upstreams are shared by as many boxes.
-    Indices ownSubset(size_t boxRank) const {
-        const size_t size = std::min(kSubset, m_usable.size());
+    Indices subsetForBox(size_t boxRank) const {
+        const size_t size = std::min(kSubsetSize, m_usable.size());
         Indices subset;
         for (size_t i = 0; i < size; ++i) {
             subset.push_back(m_usable[(boxRank * size + i) % m_usable.size()]);
@@ -165,20 +166,20 @@
 
     // The one with the fewest requests of this box, which it knows exactly. Preconditions: `from`
     // is not empty.
-    size_t leastOwn(const Indices& from) const {
-        return Lowest(from, [&](size_t i) {
+    size_t leastOwnLoad(const Indices& from) const {
+        return MinBy(from, [&](size_t i) {
             return std::make_pair(m_candidates[i].ownLoad, randomOrder(i));
         });
     }
 
-    // The less loaded of two drawn at random. Preconditions: `from` is not empty.
-    size_t lesserOfTwo(Indices from) const {
-        const size_t drawn = std::min<size_t>(2, from.size());
-        std::partial_sort(from.begin(), from.begin() + static_cast<std::ptrdiff_t>(drawn),
+    // The less loaded of two randomBound at random. Preconditions: `from` is not empty.
+    size_t lessLoadedOfTwo(Indices from) const {
+        const size_t randomBound = std::min<size_t>(2, from.size());
+        std::partial_sort(from.begin(), from.begin() + static_cast<std::ptrdiff_t>(randomBound),
                           from.end(),
                           [&](size_t a, size_t b) { return randomOrder(a) < randomOrder(b); });
-        from.resize(drawn);
-        return Lowest(from, [&](size_t i) { return m_candidates[i].load; });
+        from.resize(randomBound);
+        return MinBy(from, [&](size_t i) { return m_candidates[i].load; });
     }
 
     static Indices::const_iterator at(const Indices& order, size_t width) {
@@ -194,16 +195,17 @@
     Bounds boundsOf(const AffinityPolicy& policy, double mean) const {
         const double limiting = std::min(mean, policy.serviceMean.value_or(mean));
         const double highest = policy.multiple * limiting + policy.margin;
-        if (!policy.drawsBound) {
+        if (!policy.randomizeBound) {
             const int sharp = static_cast<int>(std::ceil(highest));
             return {sharp, sharp};
         }
-        return {drawn(mean + kMinDrawnMargin, highest), drawn(mean + kMinReportedMargin, highest)};
+        return {randomBound(mean + kMinRandomMargin, highest),
+                randomBound(mean + kMinReportedMargin, highest)};
     }
 
-    int drawn(double lowest, double highest) const {
+    int randomBound(double lowest, double highest) const {
         const double from = std::min(lowest, highest);
-        const double part = static_cast<double>(m_draw % kDrawSteps) / kDrawSteps;
+        const double part = static_cast<double>(m_draw % kBoundSteps) / kBoundSteps;
         return static_cast<int>(std::ceil(from + part * (highest - from)));
     }
 
--- a/tests/ChooseUpstreamTest.cpp
+++ b/tests/ChooseUpstreamTest.cpp
@@ -71,7 +71,7 @@
     auto candidates = Candidates();
     const AffinityPolicy sharp;
     AffinityPolicy drawn;
-    drawn.drawsBound = true;
+    drawn.randomizeBound = true;
     constexpr uint64_t kKey = 7;
     const int preferred = Chosen(sharp, candidates, kKey, 0);
     const auto kept = [&](const AffinityPolicy& policy, int load) {
@@ -182,7 +182,7 @@
     }
     constexpr uint64_t kKey = 7;
     AffinityPolicy policy;
-    policy.drawsBound = true;
+    policy.randomizeBound = true;
     const auto chosen = [&] {
         std::map<int, int> counts;
         for (uint64_t draw = 0; draw < 1024; ++draw) {
