--- a/tests/Fleet.cpp
+++ b/tests/Fleet.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr Millis kFrameDelay = 2;     // Between two boxes.
-constexpr Millis kRequestDelay = 2;   // To an upstream, and back.
-constexpr Millis kLinkTime = 300;     // From a box's start to its links.
-constexpr size_t kMaxDialed = 16;     // As the gateway's.
-constexpr int64_t kBudget = 4000;     // As the gateway's: bytes a second.
-constexpr double kSkew = 0.3;         // Of the prompts' popularity: 1 / rank ^ skew.
-constexpr double kLimitMultiple = 2;  // The operators' limit on an upstream's load.
+constexpr Millis kFrameDelay = 2;                // Between two boxes.
+constexpr Millis kRequestDelay = 2;              // To an upstream, and back.
+constexpr Millis kLinkDelay = 300;               // From a box's start to its links.
+constexpr size_t kMaxDialed = 16;                // As the gateway's.
+constexpr int64_t kBudgetBytesPerSecond = 4000;  // As the gateway's: bytes a second.
+constexpr double kPopularitySkew = 0.3;          // Of the prompts' popularity: 1 / rank ^ skew.
+constexpr double kLimitMultiple = 2;             // The operators' limit on an upstream's load.
 constexpr double kLimitMargin = 3;
 
 std::string BoxAddress(size_t i) {
@@ -30,19 +30,19 @@
         : records(io.get_executor(), settings.health),
           upstreams(records),
           directory({address, "z"}, kMaxDialed),
-          exchange(records, kBudget) {}
+          exchange(records, kBudgetBytesPerSecond) {}
 
     UpstreamRecords records;
     UpstreamList upstreams;
     BoxDirectory directory;
     LoadExchange exchange;
     MonoTime linkedFrom;
-    uint64_t life = 0;
+    uint64_t generation = 0;
 };
 
 struct Fleet::Work {
     size_t box = 0;
-    uint64_t life = 0;  // Of the box.
+    uint64_t generation = 0;  // Of the box.
     size_t server = 0;
     std::vector<std::string> parts;  // Of its prompt, those that others share.
     Millis firstAnswer = 0;
@@ -89,14 +89,14 @@
 }
 
 void Fleet::startBox(size_t i) {
-    const uint64_t life = m_boxes[i] ? m_boxes[i]->life + 1 : 1;
+    const uint64_t generation = m_boxes[i] ? m_boxes[i]->generation + 1 : 1;
     m_boxes[i] = std::make_unique<Box>(m_io, m_settings, BoxAddress(i));
     Box& box = *m_boxes[i];
-    box.life = life;
-    box.linkedFrom = m_now + kLinkTime;
+    box.generation = generation;
+    box.linkedFrom = m_now + kLinkDelay;
     box.upstreams.apply(m_listed, "test", m_now);
-    at(box.linkedFrom, [this, i, life] {
-        if (m_boxes[i]->life != life) {
+    at(box.linkedFrom, [this, i, generation] {
+        if (m_boxes[i]->generation != generation) {
             return;
         }
         for (size_t other = 0; other < m_boxes.size(); ++other) {
@@ -104,12 +104,12 @@
         }
     });
     const auto spread = static_cast<Millis>(uniform() * 100);
-    at(m_now + spread, [this, i, life] { announce(i, life); });
+    at(m_now + spread, [this, i, generation] { announce(i, generation); });
 }
 
-void Fleet::announce(size_t i, uint64_t life) {
+void Fleet::announce(size_t i, uint64_t generation) {
     Box& box = *m_boxes[i];
-    if (box.life != life) {
+    if (box.generation != generation) {
         return;
     }
     std::vector<std::string> linked;
@@ -121,24 +121,25 @@
         }
     }
     for (const OutgoingFrame& outgoing : box.exchange.due(box.directory, linked, m_now)) {
-        m_figures.bytesSent += outgoing.frame.size() * outgoing.to.size();
+        m_stats.bytesSent += outgoing.frame.size() * outgoing.to.size();
         const auto body = std::make_shared<wire::BodyUnion>(
             DecodeFrame(std::span<const char>(outgoing.frame).subspan(kFrameHeaderSize)).value());
         for (const std::string& to : outgoing.to) {
             const size_t receiver = m_boxByAddress.at(to);
-            at(m_now + kFrameDelay, [this, body, receiver, i, start = m_boxes[receiver]->life] {
-                Box& there = *m_boxes[receiver];
-                if (there.life == start) {
-                    there.exchange.take(BoxAddress(i), *body, m_now);
-                }
-            });
+            at(m_now + kFrameDelay,
+               [this, body, receiver, i, start = m_boxes[receiver]->generation] {
+                   Box& there = *m_boxes[receiver];
+                   if (there.generation == start) {
+                       there.exchange.take(BoxAddress(i), *body, m_now);
+                   }
+               });
         }
     }
-    at(m_now + box.exchange.pause(), [this, i, life] { announce(i, life); });
+    at(m_now + box.exchange.pause(), [this, i, generation] { announce(i, generation); });
 }
 
 void Fleet::scheduleArrival() {
-    m_nextArrival += -std::log(1 - uniform()) * 1000 / (m_perSecond * m_rate);
+    m_nextArrival += -std::log(1 - uniform()) * 1000 / (m_perSecond * m_rateFactor);
     at({static_cast<Millis>(m_nextArrival)}, [this] {
         arrive();
         scheduleArrival();
@@ -150,7 +151,8 @@
         return "hot";
     }
     // The inverse of the sum over ranks of 1 / rank ^ skew, as an integral.
-    const double rank = std::pow(uniform(), 1 / (1 - kSkew)) * static_cast<double>(traffic.prompts);
+    const double rank =
+        std::pow(uniform(), 1 / (1 - kPopularitySkew)) * static_cast<double>(traffic.prompts);
     return std::to_string(kind) + "-" + std::to_string(static_cast<size_t>(rank));
 }
 
@@ -165,20 +167,20 @@
     const std::vector<std::string> parts{nextPrompt(traffic, kind)};
     const std::set<std::string> tried;
     auto work = std::make_shared<Work>();
-    work->number = ++m_requests;
+    work->number = ++m_requestCount;
     work->box = m_random() % m_boxes.size();
     Box& box = *m_boxes[work->box];
-    work->life = box.life;
+    work->generation = box.generation;
     box.records.expirePeerLoads(m_now);
     const PlacementQuestion question{m_service, &m_spec, nullptr,   nullptr,
                                      parts,     tried,   m_random()};
     const auto place =
         PlaceAttempt({m_settings, box.upstreams, box.records, m_evacuations}, question, m_now);
     work->attempt = box.records.attemptBegan(place->upstream.incarnation(), [] {});
-    m_figures.preferred += place->reason == PlacementReason::kPreferred ? 1 : 0;
+    m_stats.preferred += place->reason == PlacementReason::kPreferred ? 1 : 0;
     work->parts = parts;
     work->server = m_serverByName.at(place->upstream.id);
-    m_figures.copies += m_copies.emplace(parts.front(), work->server).second ? 1 : 0;
+    m_stats.copies += m_copies.emplace(parts.front(), work->server).second ? 1 : 0;
     work->firstAnswer = traffic.firstAnswer;
     const double spread = 0.5 + uniform();
     work->time =
@@ -187,14 +189,14 @@
 }
 
 void Fleet::begin(const std::shared_ptr<Work>& work) {
-    if (m_boxes[work->box]->life != work->life) {
+    if (m_boxes[work->box]->generation != work->generation) {
         return;
     }
     Server& server = *m_servers[work->server];
-    const double mean = static_cast<double>(m_held) / static_cast<double>(m_servers.size());
-    ++m_figures.arrivals;
-    m_figures.overLimit += server.held() > kLimitMultiple * mean + kLimitMargin ? 1 : 0;
-    ++m_held;
+    const double mean = static_cast<double>(m_totalHeld) / static_cast<double>(m_servers.size());
+    ++m_stats.arrivals;
+    m_stats.overLimit += server.held() > kLimitMultiple * mean + kLimitMargin ? 1 : 0;
+    ++m_totalHeld;
     server.waiting.push_back(work);
     admitWaiting(work->server);
 }
@@ -205,7 +207,7 @@
         const auto work = server.waiting.front();
         server.waiting.erase(server.waiting.begin());
         ++server.working;
-        m_underWay[work->number] = work;
+        m_running[work->number] = work;
         at(m_now + work->firstAnswer, [this, work] {
             if (work->ended) {
                 return;
@@ -213,7 +215,7 @@
             const int held = m_servers[work->server]->held();
             at(m_now + kRequestDelay, [this, work, held] {
                 Box& box = *m_boxes[work->box];
-                if (box.life == work->life) {
+                if (box.generation == work->generation) {
                     box.records.notePrompt(work->parts, ServerName(work->server), m_now);
                     box.records.noteReportedLoad(ServerName(work->server), held, m_now);
                 }
@@ -228,13 +230,13 @@
         return;
     }
     work->ended = true;
-    m_underWay.erase(work->number);
+    m_running.erase(work->number);
     --m_servers[work->server]->working;
-    --m_held;
+    --m_totalHeld;
     admitWaiting(work->server);
     at(m_now + kRequestDelay, [this, work] {
         Box& box = *m_boxes[work->box];
-        if (box.life == work->life) {
+        if (box.generation == work->generation) {
             box.records.attemptEnded(work->attempt);
         }
     });
@@ -252,21 +254,21 @@
     for (size_t index = 0; index < m_servers.size(); ++index) {
         auto& waiting = m_servers[index]->waiting;
         const size_t dropped = std::erase_if(waiting, [&](const std::shared_ptr<Work>& work) {
-            return m_boxes[work->box]->life != work->life;
+            return m_boxes[work->box]->generation != work->generation;
         });
-        m_held -= dropped;
+        m_totalHeld -= dropped;
     }
-    const auto underWay = m_underWay;
-    for (const auto& [number, work] : underWay) {
-        if (m_boxes[work->box]->life != work->life) {
+    const auto running = m_running;
+    for (const auto& [number, work] : running) {
+        if (m_boxes[work->box]->generation != work->generation) {
             end(work);
         }
     }
 }
 
-FleetFigures Fleet::play(Millis time) {
+FleetStats Fleet::play(Millis time) {
     const MonoTime until = m_now + time;
-    m_figures = {};
+    m_stats = {};
     while (!m_events.empty() && m_events.top().time <= until) {
         const Event event = m_events.top();
         m_events.pop();
@@ -274,7 +276,7 @@
         event.action();
     }
     m_now = until;
-    return m_figures;
+    return m_stats;
 }
 
 }  // namespace onyx
--- a/tests/Fleet.h
+++ b/tests/Fleet.h
@@ -33,7 +33,7 @@
 };
 
 // What was seen in a stretch of time.
-struct FleetFigures {
+struct FleetStats {
     size_t arrivals = 0;
     size_t overLimit = 0;    // At an upstream that held more than twice the mean + 3.
     size_t preferred = 0;    // At the first choice of their prompt.
@@ -55,9 +55,9 @@
     ~Fleet();
 
     // Plays for `time` and tells what was seen in it.
-    FleetFigures play(Millis time);
+    FleetStats play(Millis time);
     // All traffic comes `factor` times as often from now on.
-    void setRate(double factor) { m_rate = factor; }
+    void setRate(double factor) { m_rateFactor = factor; }
     // A share of the first kind of request asks for one prompt from now on.
     void setHotShare(double share) { m_hotShare = share; }
     // No box sends to a third of the upstreams from now on: their zone is evacuated.
@@ -73,7 +73,7 @@
 
     void at(MonoTime time, Action action);
     void startBox(size_t i);
-    void announce(size_t i, uint64_t life);
+    void announce(size_t i, uint64_t generation);
     void scheduleArrival();
     void arrive();
     void begin(const std::shared_ptr<Work>& work);
@@ -110,13 +110,13 @@
     uint64_t m_order = 0;
     double m_nextArrival = 1000;  // Virtual milliseconds.
     double m_perSecond = 0;       // Of all traffic, at the ordinary rate.
-    double m_rate = 1;
+    double m_rateFactor = 1;
     double m_hotShare = 0;
-    size_t m_held = 0;  // By all upstreams.
-    uint64_t m_requests = 0;
-    std::map<uint64_t, std::shared_ptr<Work>> m_underWay;  // At work, not waiting; by number.
-    std::set<std::pair<std::string, size_t>> m_copies;     // Prompts and who has seen them.
-    FleetFigures m_figures;
+    size_t m_totalHeld = 0;  // By all upstreams.
+    uint64_t m_requestCount = 0;
+    std::map<uint64_t, std::shared_ptr<Work>> m_running;  // At work, not waiting; by number.
+    std::set<std::pair<std::string, size_t>> m_copies;    // Prompts and who has seen them.
+    FleetStats m_stats;
 };
 
 }  // namespace onyx
--- a/tests/LoadEstimateTest.cpp
+++ b/tests/LoadEstimateTest.cpp
@@ -131,7 +131,7 @@
     const uint64_t seed = GENERATE(1, 2);
     Fleet fleet(kLargeSite, LargeTraffic(), seed);
     fleet.play(2 * kStretch);
-    const FleetFigures figures = fleet.play(kStretch);
+    const FleetStats figures = fleet.play(kStretch);
     CHECK(1 - figures.preferredShare() <= kMaxMoved);
     CHECK(figures.overShare() < kMaxOver);
 }
