--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -83,7 +83,7 @@
     // The start that is known of an upstream; 0: none. Preconditions: none.
     int64_t startOf(const std::string& id) const;
     // Whether what another box says of an upstream, by its number, is of the incarnation that is
-    // known here. `tag`: its StartTag; 0, of a box that does not say: validFor unless the upstream
+    // known here. `tag`: its StartTag; 0, of a box that does not say: trusted unless the upstream
     // was seen to start again. Preconditions: none.
     bool isCurrent(uint32_t number, uint8_t tag) const;
     // The tag that this box sends with a number. Preconditions: none.
@@ -146,7 +146,7 @@
         return m_loads.takeDueReports(most, now);
     }
     void noteHolding(const CacheHolding& holding, MonoTime now) { m_caches.learn(holding, now); }
-    // Forgets the loads of a box whose link is gone, and those that are no longer validFor.
+    // Forgets the loads of a box whose link is gone, and those that are no longer valid.
     // Preconditions: none.
     void forgetPeer(const std::string& box) { m_peerCounts.forget(box); }
     void expirePeerLoads(MonoTime now) { m_peerCounts.expire(now); }
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -17,7 +17,7 @@
 constexpr Millis kDigestPeriod = 100;
 constexpr Millis kDigestRenewal =
     500;  // A digest without changes, which shows that this box lives.
-// Digests of a box are validFor for this many of the periods that it announces, and for a while at
+// Digests of a box are valid for this many of the periods that it announces, and for a while at
 // least: one may be lost or late.
 constexpr Millis kPeriodsBelieved = 3;
 constexpr Millis kMinBelieved = 1200;
--- a/src/placement/ChooseUpstream.cpp
+++ b/src/placement/ChooseUpstream.cpp
@@ -172,13 +172,13 @@
         });
     }
 
-    // The less loaded of two randomBound at random. Preconditions: `from` is not empty.
+    // The less loaded of two sampled at random. Preconditions: `from` is not empty.
     size_t lessLoadedOfTwo(Indices from) const {
-        const size_t randomBound = std::min<size_t>(2, from.size());
-        std::partial_sort(from.begin(), from.begin() + static_cast<std::ptrdiff_t>(randomBound),
+        const size_t sampleSize = std::min<size_t>(2, from.size());
+        std::partial_sort(from.begin(), from.begin() + static_cast<std::ptrdiff_t>(sampleSize),
                           from.end(),
                           [&](size_t a, size_t b) { return randomOrder(a) < randomOrder(b); });
-        from.resize(randomBound);
+        from.resize(sampleSize);
         return MinBy(from, [&](size_t i) { return m_candidates[i].load; });
     }
 
