--- a/include/placement/UpstreamExclusion.h
+++ b/include/placement/UpstreamExclusion.h
@@ -1,8 +1,8 @@
-// Decides whether an upstream gets no request now, whatever else speaks for it, and why: the one
-// place where all such reasons stand. An ejection is none of them: it only puts an upstream behind
-// the others (ChooseUpstream).
+// Decides whether an upstream currently receives no requests at all, and why. All such reasons are
+// defined here. An ejection is not one of them: it only ranks an upstream behind the others (see
+// ChooseUpstream).
 //
-// Inputs: what is known of one upstream, with times in milliseconds.
+// Inputs: the state of one upstream, with times in milliseconds.
 #pragma once
 
 #include "include/base/Time.h"
@@ -16,56 +16,61 @@
 
 namespace onyx {
 
-// Why an upstream is left out; the first that holds counts.
+// Why an upstream is excluded. If several reasons apply, the first in this order is reported.
 enum class ExclusionReason : uint8_t {
-    kDraining,          // The list says so.
-    kLeaving,           // It said in an answer that it is about to end.
-    kRegionNotAllowed,  // It is in a region that the request's route or team may not be served in.
-    kEvacuated,         // The operators evacuate its availability zone.
-    kBackoff,           // It asked this box for no requests for a while.
-    kCold,  // This box has no part, or none left now, in what it bears while it is cold.
+    kDraining,          // Marked as draining in the list of upstreams.
+    kLeaving,           // Announced in an answer that it is about to shut down.
+    kRegionNotAllowed,  // In a region where the request's route or team must not be served.
+    kEvacuated,         // The operators are evacuating its availability zone.
+    kBackoff,           // Asked this box to send no requests for a while.
+    kCold,              // Cold, and this box may send it no request now (see ColdShare).
 };
 inline constexpr size_t kExclusionReasonCount = 6;
 
-// The reason as it stands in logs and metrics. Thread safety: any thread.
+// Returns the reason's name as used in logs and metrics. Thread safety: any thread.
 std::string_view ExclusionReasonName(ExclusionReason reason);
 
-// What is known of an upstream, as far as it may be left out for it.
+// The state of an upstream that determines whether it is excluded.
 struct ExclusionInputs {
     bool draining = false;
     bool leaving = false;
-    bool regionNotAllowed = false;   // Of the request that asks.
-    bool evacuated = false;          // Its zone is.
-    std::optional<Millis> backoff;   // It wants no request for so long.
-    std::optional<Millis> coldWait;  // It is cold, and this box waits so long; 0: no longer.
+    bool regionNotAllowed = false;  // For the request being placed.
+    bool evacuated = false;         // Its zone is being evacuated.
+    std::optional<Millis> backoff;  // Time left for which it accepts no request, in milliseconds.
+    std::optional<Millis>
+        coldWait;  // Set if cold: this box's wait before it may send, in ms; 0: none.
 };
 
-// An upstream is left out.
+// Why an upstream is excluded, and for how long.
 struct Exclusion {
     ExclusionReason reason = ExclusionReason::kDraining;
-    std::optional<Millis> wait;  // For so long, if that is known.
+    std::optional<Millis> wait;  // Time until it is available again, in milliseconds, if known.
 
-    // Whether it is left out with its whole zone, until an operator changes that.
+    // Returns true if its whole zone is excluded, until an operator changes that.
     bool isZoneWide() const {
         return reason == ExclusionReason::kEvacuated ||
                reason == ExclusionReason::kRegionNotAllowed;
     }
 };
 
-// Preconditions: none. Thread safety: any thread.
+// Returns why the upstream is excluded, or nothing if it may be chosen. Preconditions: none. Thread
+// safety: any thread.
 std::optional<Exclusion> ExclusionOf(const ExclusionInputs& inputs);
 
-// How many upstreams of a service are left out, by reason, and when the first one is back.
+// Counts the excluded upstreams of a service by reason, and keeps the shortest wait until one of
+// them is available again.
 class ExclusionTally {
 public:
     // Preconditions: none.
     void add(const Exclusion& exclusion);
-    // Of all, or those of one reason. Preconditions: none.
+    // Returns the number of excluded upstreams: all of them, or those excluded for one reason.
+    // Preconditions: none.
     size_t count() const;
     size_t count(ExclusionReason reason) const { return m_counts[static_cast<size_t>(reason)]; }
-    // The shortest wait that is known, in milliseconds. Preconditions: none.
+    // Returns the shortest known wait, in milliseconds. Preconditions: none.
     std::optional<Millis> wait() const { return m_wait; }
-    // As it stands in the log: "cold=3 draining=1"; empty if there is none. Preconditions: none.
+    // Returns the counts as logged, e.g. "cold=3 draining=1"; empty if no upstream is excluded.
+    // Preconditions: none.
     std::string text() const;
 
 private:
--- a/include/placement/UpstreamLoads.h
+++ b/include/placement/UpstreamLoads.h
@@ -1,10 +1,11 @@
-// How loaded each upstream is, an input of ChooseUpstream: this box's own requests there, and what
-// the upstream's answers report of all boxes' requests, whether this box had the answer or another
-// box lastForwarded the report on. Decides which reports are worth passing on.
+// Tracks the load of each upstream, an input of ChooseUpstream: this box's own requests, and the
+// load of all boxes that the upstream reports in its answers. A report comes either with an answer
+// to this box or from another box that forwarded it. Also decides which reports are worth
+// forwarding.
 //
-// A report holds for all boxes, has no part that was guessed, and comes the more often the more an
-// upstream is given. Of two reports the newer one counts, so that it does not matter over which
-// boxes they came, or how often.
+// A report covers all boxes and contains no estimate, and an upstream that receives more requests
+// reports more often. Of two reports, the newer one counts, so a report's path and the number of
+// times it arrives do not matter.
 #pragma once
 
 #include "include/base/Hash.h"
@@ -20,10 +21,10 @@
 
 namespace onyx {
 
-// What an upstream's answer told: how many requests it has, of all boxes.
+// The load that an upstream reported in an answer: its number of requests from all boxes.
 struct LoadReport {
-    uint32_t upstream = 0;  // The short hash of its id.
-    int load = 0;           // Requests that run or wait there.
+    uint32_t upstream = 0;  // ShortHash of its id.
+    int load = 0;           // Requests running or queued there.
     MonoTime asOf;          // On this box's clock.
     friend bool operator==(const LoadReport&, const LoadReport&) = default;
 };
@@ -31,66 +32,70 @@
 // Not thread safe: one task owns it.
 class UpstreamLoads {
 public:
-    // In milliseconds. A reported load counts for this long.
+    // How long a reported load is used as the current load, in milliseconds.
     static constexpr Millis kReportAge = 1000;
-    // In milliseconds. An older report still tells how much comes to its upstream (LoadEstimate);
-    // it is forgotten after this long.
+    // How long a report is kept, in milliseconds. A report older than kReportAge still indicates
+    // the rate of requests at its upstream (see LoadEstimate).
     static constexpr Millis kReportRetention = 4000;
 
-    // Counts a request that is sent to `upstream`. Preconditions: none.
+    // Counts a request sent to `upstream`. Preconditions: none.
     void enter(const std::string& upstream);
 
-    // Counts it out. Preconditions: enter() counted it.
+    // Removes an ended request from the count. Preconditions: enter() counted it.
     void leave(const std::string& upstream);
 
-    // Takes in the load that an answer reports. Preconditions: times do not fall.
+    // Records the load reported in an answer to this box. Preconditions: times do not decrease.
     void noteReportedLoad(const std::string& upstream, int load, MonoTime now);
 
-    // Takes in a report that another box lastForwarded on; one that is not newer changes nothing.
-    // Preconditions: as above.
+    // Records a report forwarded by another box. Ignored if it is not newer than the known one or
+    // is older than kReportAge. Preconditions: as for noteReportedLoad().
     void noteForwardedReport(const LoadReport& report, MonoTime now);
 
-    // Whether there is a report to be lastForwarded on. Preconditions: as above.
+    // Returns true if there is a report to forward. Preconditions: as for noteReportedLoad().
     bool hasDueReports(MonoTime now) const;
 
-    // The reports to be lastForwarded on, the fullest upstreams first, at maxCount `maxCount` of
-    // them: each once, and of an upstream whose load hardly changed not too often. Preconditions:
-    // as above.
+    // Returns the reports to forward, highest load first, at most `maxCount` of them. Each report
+    // is returned once, and an upstream whose load has barely changed is not reported too often.
+    // Preconditions: as for noteReportedLoad().
     std::vector<LoadReport> takeDueReports(size_t maxCount, MonoTime now);
 
-    // This box's requests there. Preconditions: none.
+    // Returns the number of requests in flight from this box. Preconditions: none.
     int own(const std::string& upstream) const;
 
-    // All boxes' requests there by the newest report, with this box's changes since; nothing if
-    // there is none of the last kReportAge. Preconditions: none.
+    // Returns the requests of all boxes according to the newest report, adjusted for changes in
+    // this box's own requests since; nothing if no report is at most kReportAge old. Preconditions:
+    // none.
     std::optional<int> reported(const std::string& upstream, MonoTime now) const;
 
-    // The newest report, with this box's changes since; nothing if there is none of the last
-    // kReportRetention. Preconditions: as above.
+    // Returns the newest report, adjusted for changes in this box's own requests since; nothing if
+    // no report is at most kReportRetention old. Preconditions: as for noteReportedLoad().
     std::optional<AgedReport> lastReport(const std::string& upstream, MonoTime now) const;
 
-    // How old the newest report of `upstream` is, in milliseconds; nothing if there is none.
-    // Preconditions: none.
+    // Returns the age of the newest report of `upstream`, in milliseconds; nothing if there is
+    // none. Preconditions: none.
     std::optional<Millis> reportAge(const std::string& upstream, MonoTime now) const;
 
-    // All boxes' requests there, or this box's if nothing fresh is known. Preconditions: none.
+    // Returns the requests of all boxes, or only those of this box if there is no report of the
+    // last kReportAge. Preconditions: none.
     int total(const std::string& upstream, MonoTime now) const;
 
-    // This box's requests at each upstream that has any, by upstream number.
-    // Preconditions: none.
+    // Returns this box's requests at each upstream that has any, as pairs of ShortHash(id) and
+    // count. Preconditions: none.
     PeerCounts::Counts counts() const;
 
-    // Forgets an upstream that is gone and has no request. Preconditions: none.
+    // Removes the record of an upstream that is no longer listed, unless requests of this box are
+    // still in flight there. Preconditions: none.
     void forget(const std::string& upstream);
 
-    // Forgets an upstream's requests and reports: it has started again, and those requests have
-    // ended there. leave() is not to be called for them. Preconditions: none.
+    // Removes the request count and reports of an upstream that has restarted, since those requests
+    // ended with its previous incarnation. leave() must not be called for them. Preconditions:
+    // none.
     void reset(const std::string& upstream) { m_records.erase(ShortHash(upstream)); }
 
 private:
     struct Report {
         int load = 0;
-        int otherBoxes = 0;  // Of other boxes.
+        int otherBoxes = 0;  // Requests of the other boxes.
         MonoTime asOf;
     };
     struct Forwarded {
@@ -100,8 +105,8 @@
     struct Record {
         int own = 0;
         std::optional<Report> report;
-        bool unforwarded = false;                // The report was not lastForwarded on yet.
-        std::optional<Forwarded> lastForwarded;  // What was lastForwarded on last.
+        bool unforwarded = false;  // The report has not been forwarded yet.
+        std::optional<Forwarded> lastForwarded;
     };
 
     const Record* find(const std::string& upstream) const;
@@ -111,8 +116,8 @@
 
     bool isHighLoad(int load) const;
 
-    std::unordered_map<uint32_t, Record> m_records;  // By upstream number.
-    double m_typicalLoad = 0;  // What this box's own answers report: a moving mean, in requests.
+    std::unordered_map<uint32_t, Record> m_records;  // By ShortHash of the upstream id.
+    double m_typicalLoad = 0;  // Moving mean of loads in answers to this box, in requests.
 };
 
 }  // namespace onyx
