--- a/include/placement/CacheDirectory.h
+++ b/include/placement/CacheDirectory.h
@@ -1,12 +1,12 @@
-// Decides from which upstream the chosen one fetches a prompt's cached parts, so that it need not
-// read them again; and remembers who holds what.
+// Tracks which upstreams hold which parts of prompts in their caches, and selects the upstream from
+// which the chosen one fetches a prompt's cached parts instead of processing them again.
 //
 // Inputs: the prompt's shared parts in order; the service's upstreams, whether each is ejected and
-// how long it has been known; the holders, learned from this box's own requests and from what other
-// boxes announce; the order in which all boxes prefer upstreams.
+// how long it has been listed; the known holders, learned from this box's own requests and from
+// other boxes' announcements; the rendezvous order in which all boxes prefer upstreams.
 //
-// It may be wrong both ways: an upstream may have evicted a part, and other boxes' announcements
-// may not have come. Either costs a read, never a wrong answer.
+// The directory can be wrong both ways: an upstream may have evicted a part, and announcements of
+// other boxes may be missing. Either costs processing a part again, never a wrong answer.
 #pragma once
 
 #include "include/base/Time.h"
@@ -23,7 +23,8 @@
 
 namespace onyx {
 
-// "This upstream holds this part": the low halves of the names' hashes, as boxes announce it.
+// Records that an upstream holds a part of a prompt, as announced between boxes: the ShortHash of
+// each name.
 struct CacheHolding {
     uint32_t part = 0;
     uint32_t upstream = 0;
@@ -33,21 +34,21 @@
 // An upstream that may hold parts of prompts.
 struct CacheCandidate {
     std::string_view id;
-    bool reachable = true;  // Not ejected; one that drains may still be asked.
-    bool settled = true;    // Known for CacheDirectory::kSettledAge at least.
+    bool reachable = true;  // Not ejected. A draining upstream can still serve fetches.
+    bool settled = true;    // Listed for at least CacheDirectory::kSettledAge.
 };
 
-// Why an upstream is fetched from, for the log.
+// Why an upstream was selected as the source of a fetch; logged.
 enum class CacheSourceReason : uint8_t {
-    kHolder,     // It is known to hold the last shared part.
-    kPreferred,  // All boxes would have sent prompts with this part there.
-    kPrefix,     // It is known to hold an earlier part.
+    kHolder,     // Known to hold the last shared part.
+    kPreferred,  // The upstream that all boxes prefer for prompts with this part.
+    kPrefix,     // Known to hold an earlier part.
 };
 
-// The reason as it stands in the log. Thread safety: any thread.
+// Returns the reason's name as logged. Thread safety: any thread.
 std::string_view CacheSourceReasonName(CacheSourceReason reason);
 
-// An upstream to fetch from, by its index among the candidates, and why.
+// The upstream to fetch from, as an index into the candidates, and why it was selected.
 struct CacheSource {
     size_t index = 0;
     CacheSourceReason reason = CacheSourceReason::kHolder;
@@ -56,46 +57,50 @@
 // Not thread safe: one task owns it.
 class CacheDirectory {
 public:
-    // Parts remembered: some 0.5 MB, with the parts that prompts share within kMaxAge.
+    // Maximum number of parts kept: about 0.5 MB, which is enough for the parts that prompts share
+    // within kMaxAge.
     static constexpr size_t kCapacity = 4096;
-    // In milliseconds. What was seen longer ago is likely evicted.
+    // Age in milliseconds after which a holding is ignored, because the part is likely evicted.
     static constexpr Millis kMaxAge = 60000;
-    // In milliseconds. After this long an upstream holds what recent prompts share.
+    // Time in milliseconds after which a newly listed upstream holds the parts that recent prompts
+    // share.
     static constexpr Millis kSettledAge = 12000;
-    // Holdings that wait to be announced; beyond them the oldest are dropped. 4 KB of a digest.
+    // Maximum number of holdings queued for announcement; beyond it the oldest are dropped. They
+    // take 4 KB of a digest.
     static constexpr size_t kMaxPendingAnnouncements = 512;
 
-    // Preconditions: both > 0.
+    // Preconditions: capacity > 0, maxAge > 0, in milliseconds.
     explicit CacheDirectory(size_t capacity = kCapacity, Millis maxAge = kMaxAge)
         : m_capacity(capacity), m_maxAge(maxAge) {}
 
-    // This box saw `upstream` answer a prompt with these shared parts. What others cannot know yet
-    // is kept for takeAnnouncements(). Preconditions: times do not fall.
+    // Records that `upstream` answered a prompt with these shared parts. Holdings that other boxes
+    // may not know yet are queued for takeAnnouncements(). Preconditions: times do not decrease.
     void recordAnswer(std::span<const std::string> parts, std::string_view upstream, MonoTime now);
 
-    // Another box announced this. Preconditions: as above.
+    // Records a holding that another box announced. Preconditions: as for recordAnswer().
     void learn(const CacheHolding& holding, MonoTime now);
 
-    // Whether there is something to announce. Preconditions: none.
+    // Returns true if there are holdings to announce. Preconditions: none.
     bool hasAnnouncements() const { return !m_pendingAnnouncements.empty(); }
 
-    // What is to be announced since the last call. Preconditions: none.
+    // Returns the holdings queued for announcement since the last call. Preconditions: none.
     std::vector<CacheHolding> takeAnnouncements();
 
-    // Forgets what `upstream` holds: it has started again. Preconditions: none.
+    // Removes all holdings of `upstream`, given by the ShortHash of its id, because it has
+    // restarted. Preconditions: none.
     void forgetHolder(uint32_t upstream);
 
-    // Where `chosen` should fetch from, or nothing if there is nothing to gain: a known holder of
-    // the last part, else the settled candidate that this part prefers, else a known holder of an
-    // earlier part. Preconditions: none.
+    // Selects the upstream from which `chosen` should fetch: a known holder of the last part,
+    // otherwise the settled candidate that prompts with this part prefer, otherwise a known holder
+    // of an earlier part. Returns nothing if a fetch would gain nothing. Preconditions: none.
     std::optional<CacheSource> source(std::span<const std::string> parts, std::string_view chosen,
                                       std::span<const CacheCandidate> candidates,
                                       MonoTime now) const;
 
-    // The upstreams that hold `part`, by their numbers. Preconditions: none.
+    // Returns the ShortHash ids of the upstreams that hold `part`. Preconditions: none.
     std::vector<uint32_t> holders(std::string_view part, MonoTime now) const;
 
-    // Parts remembered. Preconditions: none.
+    // Returns the number of parts kept. Preconditions: none.
     size_t size() const { return m_parts.size(); }
 
 private:
@@ -108,7 +113,8 @@
         std::list<uint32_t>::iterator lruPosition;
     };
 
-    // Records a holder; true if it was not known, or only from long ago.
+    // Records a holder. Returns true if the holding was unknown or was last recorded more than half
+    // of m_maxAge ago.
     bool record(const CacheHolding& holding, MonoTime now);
     bool holds(uint32_t part, uint32_t upstream, MonoTime now) const;
     std::optional<size_t> findHolder(uint32_t part, std::string_view chosen,
@@ -118,7 +124,7 @@
     size_t m_capacity;
     Millis m_maxAge;
     std::unordered_map<uint32_t, Part> m_parts;
-    std::list<uint32_t> m_lru;  // Least lately used first.
+    std::list<uint32_t> m_lru;  // Least recently used first.
     std::vector<CacheHolding> m_pendingAnnouncements;
 };
 
--- a/include/placement/ColdShare.h
+++ b/include/placement/ColdShare.h
@@ -1,16 +1,17 @@
-// Decides which boxes of a site send requests to a cold upstream, and how far apart each sends
-// them, so that all boxes together keep below what the operators allow in any one second.
+// Selects the boxes of a site that send requests to a cold upstream, and the interval at which each
+// sends them, so that all boxes together stay below the operators' limit in every second.
 //
-// Boxes cannot count together in so short a time, so the rate is shared out beforehand: a few
-// boxes, drawn for each upstream by a hash that all boxes compute alike, have an equal part of it
-// and do not save what they leave unused. The others send elsewhere; what prefers a cold upstream
-// has its prompt read by another one meanwhile, as while it was away.
+// Boxes cannot coordinate their counts within a second, so the rate is divided in advance. For each
+// upstream, a few boxes are selected by a hash that all boxes compute identically. Each gets an
+// equal part of the rate and does not carry over unused capacity. The other boxes send nothing to
+// the cold upstream. Prompts that prefer it are meanwhile processed by another upstream, as they
+// were while it was down.
 //
-// Boxes that know different boxes may draw different ones; the rate is planned at no more than half
-// of what is allowed for that. A box that knows of others and is linked to none, or has just
-// started, cannot tell who else sends, and sends none.
+// Boxes with different views of the site may select different boxes. To allow for that, the planned
+// rate is at most half of the limit. A box that has other boxes on its list but no link to any, or
+// that has just started, cannot determine which boxes send, so it sends nothing.
 //
-// Inputs: the boxes known and linked, the operators' figures, the time.
+// Inputs: the listed and linked boxes of the site, the operators' limits, the time.
 #pragma once
 
 #include "include/base/Time.h"
@@ -24,8 +25,8 @@
 
 namespace onyx {
 
-// What a cold upstream is sent at most, in requests: in each second perSecond x overshoot +
-// tolerance; perSecond is what it bears.
+// Limit on the requests to a cold upstream: at most perSecond * overshoot + tolerance requests in
+// any one second. perSecond is the sustained rate that the upstream can handle.
 struct ColdLimit {
     double perSecond = 0;
     double overshoot = 1;
@@ -36,18 +37,21 @@
 class ColdShare {
 public:
     static constexpr size_t kSendersPerUpstream = 3;  // Boxes that share the rate of one upstream.
-    // In milliseconds. A box knows its site this long after its start.
+    // Time after its start, in milliseconds, that a box needs to discover the other boxes of its
+    // site.
     static constexpr Millis kDiscoveryTime = 3000;
 
-    // The boxes of the site but this one, by address, and how many of them are linked.
-    // Preconditions: times do not fall.
+    // Sets this box's address and the addresses of the other boxes of the site. The first call
+    // starts kDiscoveryTime. setLinked() sets the number of other boxes that are linked.
+    // Preconditions: times do not decrease.
     void setBoxes(const std::string& self, std::vector<std::string> others, MonoTime now);
     void setLinked(size_t linked) { m_linked = linked; }
 
-    // Whether this box sends requests to the upstream while it is cold. Preconditions: as above.
+    // Returns true if this box may send requests to the upstream while it is cold. Preconditions:
+    // as for setBoxes().
     bool maySend(const std::string& upstream, MonoTime now) const;
 
-    // The time between two requests of this box to one cold upstream, in milliseconds.
+    // Returns the interval between two requests of this box to one cold upstream, in milliseconds.
     // Preconditions: limit.perSecond > 0.
     Millis spacing(const ColdLimit& limit) const;
 
@@ -57,10 +61,9 @@
     std::string m_self;
     std::vector<std::string> m_others;
     size_t m_linked = 0;
-    MonoTime m_firstSetAt;  // When the first boxes were set.
+    MonoTime m_firstSetAt;  // When setBoxes() was first called.
     bool m_boxesSet = false;
-    mutable std::unordered_map<std::string, bool>
-        m_selectedByUpstream;  // By upstream, for these boxes.
+    mutable std::unordered_map<std::string, bool> m_selectedByUpstream;  // For the current boxes.
 };
 
 }  // namespace onyx
--- a/include/placement/PeerCounts.h
+++ b/include/placement/PeerCounts.h
@@ -1,5 +1,5 @@
-// What the other boxes have in flight at each upstream, by their digests: an input of
-// ChooseUpstream. Soft state: what is old counts for nothing.
+// Tracks the other boxes' requests in flight at each upstream, as received in their digests. An
+// input of ChooseUpstream. Soft state: expired digests are not counted.
 #pragma once
 
 #include "include/base/Time.h"
@@ -16,42 +16,45 @@
 // Not thread safe: one task owns it.
 class PeerCounts {
 public:
-    using Counts = std::vector<std::pair<uint32_t, int>>;  // By upstream number.
+    using Counts =
+        std::vector<std::pair<uint32_t, int>>;  // Pairs of ShortHash(upstream id) and count.
 
-    // Takes in a box's digest, in place of its last; it counts for `validFor`.
-    // Preconditions: validFor > 0.
+    // Records a box's digest, replacing its previous one. The digest counts for `validFor`
+    // milliseconds. Preconditions: validFor > 0.
     void take(const std::string& box, Counts counts, MonoTime now, Millis validFor);
 
-    // Forgets a box whose link is gone. Preconditions: none.
+    // Removes the digest of a box whose link is down. Preconditions: none.
     void forget(const std::string& box);
 
-    // Forgets what all boxes have at `upstream`, by its number: it has started again.
-    // Preconditions: none.
+    // Removes all boxes' counts for `upstream`, given by the ShortHash of its id, because it has
+    // restarted. Preconditions: none.
     void forgetUpstream(uint32_t upstream);
 
-    // Forgets the digests that are no longer validFor. Preconditions: times do not fall.
+    // Removes expired digests. Preconditions: times do not decrease.
     void expire(MonoTime now);
 
-    // The site has `boxes`, this one included; of the others the part `share` announce their counts
-    // here once all links stand. In a small site all do.
-    // Preconditions: 0 < share <= 1, boxes > 0.
+    // Sets the size of the site, `boxes`, including this box, and the `share` of the other boxes
+    // that announce their counts to this box once all links are up. In a small site, all of them
+    // do. Preconditions: 0 < share <= 1, boxes > 0.
     void setSite(size_t boxes, double share) {
         m_siteSize = boxes;
         m_announcingShare = share;
     }
 
-    // The part of all boxes that is counted, this one included: those heard of lately. Less than
-    // setSite() told while links are missing, as after a start. Preconditions: setSite() was
-    // called.
+    // Returns the share of all boxes that is counted: this box and those with an unexpired digest.
+    // It is less than the share set with setSite() while links are missing, for example after a
+    // start. Preconditions: setSite() was called.
     double countedShare() const;
 
-    // Whether some of the other boxes announce nothing here. Preconditions: none.
+    // Returns true if some of the other boxes do not announce their counts to this box.
+    // Preconditions: none.
     bool isSample() const { return m_announcingShare < 1; }
 
-    // Requests that the boxes that announce here have in flight at `upstream`. Preconditions: none.
+    // Returns the requests in flight at `upstream` from the boxes that announce their counts to
+    // this box. Preconditions: none.
     int at(const std::string& upstream) const;
 
-    // Boxes whose digest counts. Preconditions: none.
+    // Returns the number of boxes whose digest is counted. Preconditions: none.
     size_t boxes() const { return m_boxes.size(); }
 
 private:
@@ -63,7 +66,8 @@
     void subtract(const Counts& counts);
 
     std::map<std::string, Digest> m_boxes;
-    std::unordered_map<uint32_t, int> m_sums;  // Over all boxes that announce.
+    std::unordered_map<uint32_t, int>
+        m_sums;  // Over all boxes that announce, by ShortHash of the upstream id.
     double m_announcingShare = 1;
     size_t m_siteSize = 1;
 };
--- a/include/placement/PromptShares.h
+++ b/include/placement/PromptShares.h
@@ -1,9 +1,11 @@
-// How large a share of this box's recent requests asked for one prompt: an input of ChooseUpstream.
+// Computes the share of this box's recent requests that asked for a given prompt. An input of
+// ChooseUpstream.
 //
-// Callers are spread over the boxes by chance, so a prompt's share here is an estimate of its share
-// on the whole site, which needs no message and is there before any load could have been told. A
-// prompt that is one of hundreds comes to a box of many once in minutes; one that comes again
-// within seconds is asked for everywhere.
+// Callers are distributed over the boxes at random, so a prompt's share at this box is an estimate
+// of its share on the whole site. The estimate needs no message and is available before any load
+// can have been reported. On a site of many boxes, a prompt that is one of hundreds arrives at one
+// box once in several minutes; a prompt that arrives again within seconds is in demand at all
+// boxes.
 #pragma once
 
 #include "include/base/Time.h"
@@ -17,19 +19,22 @@
 // Not thread safe: one task owns it.
 class PromptShares {
 public:
-    // In milliseconds: what came longer ago no longer counts. Some answers' time: a prompt that
-    // half the boxes get once a second is then known to nine in ten of them.
+    // Requests older than this, in milliseconds, are not counted. The window is the duration of a
+    // few answers: a prompt that half of the boxes receive once a second is then detected by nine
+    // in ten of them.
     static constexpr Millis kWindow = 4000;
-    // A share is never of fewer requests than this: the first ones of a box say nothing yet.
+    // Minimum denominator of a share, in requests: the first few requests of a box are too few for
+    // an estimate.
     static constexpr size_t kMinRequests = 16;
-    // Requests remembered, far more than a box of many serves in that time; older ones are dropped.
+    // Maximum number of requests kept; older ones are dropped. This is far more than one of many
+    // boxes serves within kWindow.
     static constexpr size_t kCapacity = 4096;
 
-    // A request asked for this prompt. Preconditions: times do not fall.
+    // Records a request for this prompt. Preconditions: times do not decrease.
     void note(uint32_t prompt, MonoTime now);
 
-    // The share of the requests within kWindow that asked for `prompt` again, after the first one:
-    // 0 to 1. Preconditions: none.
+    // Returns the share of the requests within kWindow that asked for `prompt`, not counting the
+    // first of them: 0 to 1. Preconditions: none.
     double share(uint32_t prompt, MonoTime now) const;
 
 private:
--- a/src/placement/CacheDirectory.cpp
+++ b/src/placement/CacheDirectory.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The settled candidate that prompts with this last part prefer.
+// Returns the settled candidate that prompts with this last part prefer.
 std::optional<size_t> PreferredSettledCandidate(std::string_view lastPart,
                                                 std::span<const CacheCandidate> candidates) {
     return BestByRendezvous(
--- a/src/placement/ChooseUpstream.cpp
+++ b/src/placement/ChooseUpstream.cpp
@@ -12,29 +12,30 @@
 
 namespace {
 
-// The lowest bound that a request draws lies this far over the mean load, in requests. With less,
-// requests would leave an upstream that carries no more than the others.
+// Distance of the lowest random bound above the mean load, in requests. With a smaller one,
+// requests would leave an upstream whose load is no higher than that of the others.
 constexpr double kMinRandomMargin = 1.0;
-// The same for a load that the upstream reported: less of it is chance, so that fewer requests
-// leave caches behind.
+// The same for a load that the upstream reported. Less of such a load is random error, and the
+// larger margin makes fewer requests leave an upstream that has their prompt cached.
 constexpr double kMinReportedMargin = 3.0;
-// Upstreams share a prompt's requests if they carry no more than this over the mean each, in
-// requests: half of what the operators' limit leaves over the mean where upstreams are nearly idle.
+// A prompt's requests are spread over a group of upstreams whose average load is at most this far
+// above the mean, in requests. This is half of what the operators' limit allows above the mean if
+// upstreams are nearly idle.
 constexpr double kSpreadMargin = 2.0;
-// Where the service's mean is below this part of the mean of the upstreams in use, one in so many
-// requests goes to its first choice, the others to so many upstreams that their box shares with
-// few.
+// Capacity counts as reduced if the service's mean load is below this fraction of the mean load of
+// the upstreams in use. One in kFirstChoiceInterval requests then goes to its first choice; the
+// others go to a subset of kSubsetSize upstreams that this box shares with few other boxes.
 constexpr double kReducedCapacityRatio = 0.9;
 constexpr uint64_t kFirstChoiceInterval = 64;
 constexpr size_t kSubsetSize = 8;
-// The part of the mean load that one prompt may bring an upstream, before spreadCandidates doubles
-// their number. The rest of the limit is for other prompts.
+// Fraction of the mean load that one prompt may add to an upstream, before spreadCandidates doubles
+// the number of upstreams. The rest of the limit is left for other prompts.
 constexpr double kMaxPromptLoadFraction = 0.5;
-constexpr int kBoundSteps = 1024;  // Between the lowest bound and the highest.
+constexpr int kBoundSteps = 1024;  // Steps between the lowest random bound and the highest.
 
 using Indices = std::vector<size_t>;
 
-// Those of `from` for which `holds` is true, or all of them if it is true for none.
+// Returns the elements of `from` for which `holds` is true, or all of them if there are none.
 template <class Condition>
 Indices FilterOrAll(const Indices& from, Condition holds) {
     Indices preferred;
@@ -42,14 +43,14 @@
     return preferred.empty() ? from : preferred;
 }
 
-// The first of `from` with the lowest rank. Preconditions: `from` is not empty.
+// Returns the first element of `from` with the lowest rank. Preconditions: `from` is not empty.
 template <class Rank>
 size_t MinBy(const Indices& from, Rank rank) {
     return *std::min_element(from.begin(), from.end(),
                              [&](size_t a, size_t b) { return rank(a) < rank(b); });
 }
 
-// Preconditions of the calls: there is a candidate.
+// Preconditions of all methods: there is at least one candidate.
 class Chooser {
 public:
     Chooser(std::span<const PlacementCandidate> candidates, uint64_t promptHash, uint64_t draw)
@@ -81,10 +82,10 @@
     }
 
 private:
-    // From these loads on an upstream counts as full.
+    // Loads at which an upstream counts as full.
     struct Bounds {
         int estimated = 0;  // For an estimated load.
-        int reported = 0;   // For one that the upstream reported.
+        int reported = 0;   // For a load that the upstream reported.
     };
 
     size_t chooseInOrder(const AffinityPolicy& policy, const Indices& order, double mean,
@@ -100,7 +101,7 @@
         if (width == 1 && hasRoom(order.front(), bounds)) {
             return order.front();
         }
-        // Those that hold the prompt come first: a copy on one more upstream costs a read.
+        // Prefer upstreams that hold the prompt: on any other one it has to be processed again.
         Indices holdersFirst = order;
         std::stable_partition(holdersFirst.begin() + 1, holdersFirst.end(),
                               [&](size_t i) { return m_candidates[i].holdsPrompt; });
@@ -117,8 +118,8 @@
         return m_candidates[i].load < boundAt(i, bounds);
     }
 
-    // Exact loads: the next in order that has room, so that few upstreams hold a prompt. Where none
-    // has, the least loaded one queues it soonest.
+    // For exact loads: chooses the first upstream in order that has room, so that few upstreams
+    // hold a prompt. If none has room, chooses the least loaded one, whose queue is the shortest.
     size_t firstWithRoom(const Indices& order, const Bounds& bounds) const {
         const auto room =
             std::find_if(order.begin(), order.end(), [&](size_t i) { return hasRoom(i, bounds); });
@@ -126,17 +127,19 @@
                                    : MinBy(order, [&](size_t i) { return m_candidates[i].load; });
     }
 
-    // How many upstreams would bear a prompt of this share if it brought each
-    // kMaxPromptLoadFraction of the mean load; 1 for a prompt that needs no sharing.
+    // Returns the number of upstreams over which a prompt with this share has to be spread so that
+    // it adds kMaxPromptLoadFraction of the mean load to each; 1 for a prompt that needs no
+    // spreading.
     static size_t spreadWidth(double promptShare, size_t upstreams) {
         const double width = promptShare * static_cast<double>(upstreams) / kMaxPromptLoadFraction;
         return std::clamp(static_cast<size_t>(std::ceil(width)), size_t{1}, upstreams);
     }
 
-    // Estimated loads: as many of the first in order, twice `width` at least, as carry little more
-    // than the mean together.
-    // A single count may be far off, and all boxes would run after the same one; a sum over some
-    // upstreams is much less so, and what they share brings none of them far.
+    // For estimated loads: returns the first upstreams in order, at least 2 * `width` of them,
+    // doubling their number until their average load exceeds the mean by at most kSpreadMargin or
+    // all are included. A single estimate may be far off, and all boxes would send to the upstream
+    // that looks least loaded; the sum over several upstreams is much more accurate, and requests
+    // spread over a group overload none of its members.
     Indices spreadCandidates(const Indices& order, double mean, size_t width) const {
         double sum = 0;
         do {
@@ -147,14 +150,14 @@
         return {order.begin(), at(order, width)};
     }
 
-    // Whether the upstreams in use carry so much more than the service's mean, since others are
-    // left out, that old counts are no help: all boxes would run after the same upstreams.
+    // Returns true if the upstreams in use carry much more than the service's mean because others
+    // are excluded. Old counts are of no use then: all boxes would send to the same upstreams.
     static bool isCapacityReduced(const AffinityPolicy& policy, double mean) {
         return policy.serviceMean && *policy.serviceMean < kReducedCapacityRatio * mean;
     }
 
-    // A few upstreams that this box shares with a few others: boxes in their order take the next
-    // ones each, so that all upstreams are shared by as many boxes.
+    // Returns a few upstreams that this box shares with a few other boxes. Boxes of consecutive
+    // ranks take consecutive subsets, so that all upstreams are shared by equally many boxes.
     Indices subsetForBox(size_t boxRank) const {
         const size_t size = std::min(kSubsetSize, m_usable.size());
         Indices subset;
@@ -164,15 +167,15 @@
         return subset;
     }
 
-    // The one with the fewest requests of this box, which it knows exactly. Preconditions: `from`
-    // is not empty.
+    // Returns the upstream with the fewest requests from this box, a number that is exact.
+    // Preconditions: `from` is not empty.
     size_t leastOwnLoad(const Indices& from) const {
         return MinBy(from, [&](size_t i) {
             return std::make_pair(m_candidates[i].ownLoad, randomOrder(i));
         });
     }
 
-    // The less loaded of two sampled at random. Preconditions: `from` is not empty.
+    // Returns the less loaded of two elements chosen at random. Preconditions: `from` is not empty.
     size_t lessLoadedOfTwo(Indices from) const {
         const size_t sampleSize = std::min<size_t>(2, from.size());
         std::partial_sort(from.begin(), from.begin() + static_cast<std::ptrdiff_t>(sampleSize),
@@ -226,8 +229,8 @@
     int slots(size_t i) const { return std::max(1, m_candidates[i].slots); }
 
     std::span<const PlacementCandidate> m_candidates;
-    Indices m_eligible;  // Not tried by this request, or all.
-    Indices m_usable;    // Of these: not ejected, or all.
+    Indices m_eligible;  // Not tried by this request; all if there are none.
+    Indices m_usable;    // Eligible and not ejected; all eligible if there are none.
     uint64_t m_promptHash;
     uint64_t m_draw;
 };
--- a/src/placement/ColdShare.cpp
+++ b/src/placement/ColdShare.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr size_t kMaxCachedSelections = 4096;  // Remembered; beyond it they are drawn anew.
-// Of what is allowed: the rest is for boxes that know other boxes than most, and for requests that
-// were placed some time apart and arrive together.
+constexpr size_t kMaxCachedSelections = 4096;  // All are recomputed beyond this number.
+// Fraction of the limit that is planned for. The rest is for boxes with a different view of the
+// site than most, and for requests that were placed some time apart and arrive together.
 constexpr double kPlannedFraction = 0.5;
 
 }  // namespace
--- a/src/placement/PeerCounts.cpp
+++ b/src/placement/PeerCounts.cpp
@@ -43,7 +43,7 @@
     for (const auto& [upstream, count] : counts) {
         const auto it = m_sums.find(upstream);
         if (it == m_sums.end()) {
-            continue;  // A count of 0, whose sum was taken out already.
+            continue;  // The count is 0 and its sum is already removed.
         }
         it->second -= count;
         if (it->second == 0) {
--- a/src/placement/PromptShares.cpp
+++ b/src/placement/PromptShares.cpp
@@ -18,7 +18,7 @@
     const auto asked = std::count_if(first, m_entries.end(),
                                      [&](const Entry& entry) { return entry.prompt == prompt; });
     const auto requests = static_cast<size_t>(m_entries.end() - first);
-    // A single request says nothing: every prompt is asked for by somebody.
+    // A single request is no evidence of demand: every prompt is requested by somebody.
     const auto again = std::max<std::ptrdiff_t>(0, asked - 1);
     return static_cast<double>(again) / static_cast<double>(std::max(requests, kMinRequests));
 }
--- a/src/placement/UpstreamLoads.cpp
+++ b/src/placement/UpstreamLoads.cpp
@@ -9,16 +9,18 @@
 
 namespace {
 
-// In requests. A load that changed by less is lastForwarded on only now and then.
+// In requests. A load that has changed by less since it was last forwarded is forwarded again only
+// after kForwardInterval.
 constexpr int kSignificantChange = 2;
-// In milliseconds. How often a load that hardly changed is lastForwarded on.
+// In milliseconds. How often a load that has barely changed is forwarded.
 constexpr Millis kForwardInterval = 250;
-// In milliseconds. An older report is not lastForwarded on: a newer one is on its way.
+// In milliseconds. An older report is not forwarded, because a newer one is on its way.
 constexpr Millis kMaxForwardedAge = 700;
-// The own answers over which the usual load is taken: some two seconds of a box of many.
+// Number of answers over which the typical load is averaged: about two seconds of answers to one of
+// many boxes.
 constexpr double kTypicalLoadSamples = 16;
-// In requests over the usual load. From here on a report is lastForwarded on: others have to know
-// of the upstreams that are nearly full, and the budget is short.
+// In requests above the typical load. Only loads at least this far above it are forwarded: other
+// boxes need to know which upstreams are nearly full, and the bandwidth budget is small.
 constexpr double kHighLoadMargin = 2;
 
 }  // namespace
@@ -63,7 +65,7 @@
     if (!record.unforwarded || now - record.report->asOf > kMaxForwardedAge) {
         return false;
     }
-    // Boxes that were told of a full upstream are told also that it is no longer.
+    // Boxes that received a report of a high load also receive the report that ends it.
     const bool corrects = record.lastForwarded && now - record.lastForwarded->at <= kReportAge &&
                           isHighLoad(record.lastForwarded->load);
     if (!isHighLoad(record.report->load) && !corrects) {
@@ -86,8 +88,8 @@
             due.push_back({number, record.report->load, record.report->asOf});
         }
     }
-    // One that is fuller than the others believe is given too much; one that is emptier only too
-    // little.
+    // High loads first: an upstream whose load other boxes underestimate receives too many
+    // requests, while one whose load they overestimate only receives too few.
     std::sort(due.begin(), due.end(), [](const LoadReport& a, const LoadReport& b) {
         return a.load != b.load ? a.load > b.load : a.upstream < b.upstream;
     });
@@ -100,7 +102,8 @@
     return due;
 }
 
-// What other boxes lastForwarded on of upstreams that this one never used would stay for good.
+// Without this, reports forwarded by other boxes about upstreams that this box never used would be
+// kept forever.
 void UpstreamLoads::dropExpired(MonoTime now) {
     std::erase_if(m_records, [&](const auto& entry) {
         const Record& record = entry.second;
