--- a/tests/CacheDirectoryTest.cpp
+++ b/tests/CacheDirectoryTest.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::array<const char*, 5> kIds = {"a", "b", "c", "d", "e"};
 
-// Index of the candidate to fetch from, or -1 if there is nothing to gain.
+// Returns the index of the candidate to fetch from, or -1 if a fetch would gain nothing.
 int SourceOf(const CacheDirectory& caches, const std::vector<std::string>& parts,
              std::string_view chosen, const std::vector<CacheCandidate>& candidates, MonoTime now) {
     const auto source = caches.source(parts, chosen, candidates, now);
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-TEST_CASE("A newcomer fetches shared parts from the settled upstream that they prefer") {
+TEST_CASE(
+    "A new upstream fetches shared parts from the settled upstream that prompts with them prefer") {
     const CacheDirectory caches(100, 60000);
     const std::vector<std::string> parts = {"first", "second"};
     std::vector<CacheCandidate> settled;
@@ -28,7 +29,7 @@
     }
     const int before = SourceOf(caches, parts, "newcomer", settled, {0});
     REQUIRE(before >= 0);
-    // The preferred one itself has nothing to fetch; an unreachable one is not asked.
+    // The preferred upstream itself has nothing to fetch; an unreachable one is not selected.
     CHECK(SourceOf(caches, parts, settled[before].id, settled, {0}) == -1);
     settled[before].reachable = false;
     CHECK(SourceOf(caches, parts, "newcomer", settled, {0}) == -1);
@@ -37,10 +38,10 @@
     CHECK(SourceOf(caches, parts, "newcomer", settled, {0}) != before);
 }
 
-TEST_CASE("A first part is fetched from an upstream that got it from this box, if it is recent") {
+TEST_CASE("A first part is fetched from an upstream to which this box recently sent it") {
     CacheDirectory caches(100, 1000);
     const std::vector<CacheCandidate> settled = {{"a"}, {"b"}};
-    // Find prompts that share their first part and prefer different upstreams.
+    // Find two prompts that share their first part and prefer different upstreams.
     std::vector<std::string> toA;
     std::vector<std::string> toB;
     for (int i = 0; toA.empty() || toB.empty(); ++i) {
@@ -54,9 +55,10 @@
     CHECK(SourceOf(caches, toB, "b", settled, {700}) == -1);
 }
 
-// Found in the logs of pcw-onyx scale-2: boxes knew only of their own sends, so that an upstream
-// which took over from another read parts that a third one held.
-TEST_CASE("A part is fetched from an upstream that another box has seen to hold it") {
+// Guards against boxes that know only the holders from their own requests: an upstream that took
+// over from another one then processed parts again that a third upstream held. Seen in the logs of
+// pcw-onyx scale-2.
+TEST_CASE("A part is fetched from a holder that another box announced") {
     CacheDirectory seer(100, 60000);
     CacheDirectory other(100, 60000);
     const std::vector<CacheCandidate> candidates = {
@@ -72,7 +74,7 @@
     CHECK(SourceOf(other, parts, "a", candidates, {60011}) == -1);
 }
 
-TEST_CASE("An ejected holder is passed over for another one") {
+TEST_CASE("An ejected holder is skipped in favor of another one") {
     CacheDirectory caches(100, 60000);
     std::vector<CacheCandidate> candidates = {
         {"a", true, false}, {"b", true, false}, {"c", true, false}};
@@ -84,7 +86,8 @@
     CHECK(SourceOf(caches, parts, "a", candidates, {10}) == 2);
 }
 
-TEST_CASE("What a box has seen of caches is announced once, and what it was told is not") {
+TEST_CASE(
+    "A holding from a box's own requests is announced once, and an announced one is not repeated") {
     CacheDirectory caches(100, 10000);
     const std::vector<std::string> parts = {"first", "last"};
     caches.recordAnswer(parts, "a", {0});
@@ -99,12 +102,12 @@
     }
     other.recordAnswer(parts, "a", {200});
     CHECK_FALSE(other.hasAnnouncements());
-    // Before others forget it, it is announced again.
+    // It is announced again before the other boxes drop it as too old.
     caches.recordAnswer(parts, "a", {6000});
     CHECK(caches.takeAnnouncements().size() == 2);
 }
 
-TEST_CASE("Announcements that find no way out are bounded") {
+TEST_CASE("Pending announcements are bounded") {
     CacheDirectory caches(10000, 10000);
     for (size_t i = 0; i < 2 * CacheDirectory::kMaxPendingAnnouncements; ++i) {
         const std::vector<std::string> parts = {"part" + std::to_string(i)};
@@ -113,7 +116,7 @@
     CHECK(caches.takeAnnouncements().size() == CacheDirectory::kMaxPendingAnnouncements);
 }
 
-TEST_CASE("The memory of parts is bounded") {
+TEST_CASE("The number of parts kept is bounded") {
     CacheDirectory caches(10, 1000);
     for (int i = 0; i < 100; ++i) {
         const std::vector<std::string> parts = {"part" + std::to_string(i)};
@@ -122,7 +125,7 @@
     CHECK(caches.size() == 10);
 }
 
-TEST_CASE("The log can tell why a prompt is fetched from an upstream") {
+TEST_CASE("A fetch source has the reason for its selection") {
     CacheDirectory caches(100, 60000);
     std::vector<CacheCandidate> candidates = {{"a", true, false}, {"b", true, false}};
     const std::vector<std::string> parts = {"first", "last"};
--- a/tests/ChooseUpstreamTest.cpp
+++ b/tests/ChooseUpstreamTest.cpp
@@ -25,7 +25,7 @@
     return out;
 }
 
-// Index of the chosen candidate, or -1 if there is none.
+// Returns the index of the chosen candidate, or -1 if there is none.
 int Chosen(const PlacementPolicy& policy, std::span<const PlacementCandidate> candidates,
            uint64_t promptHash, uint64_t draw) {
     const auto choice = ChooseUpstream(policy, candidates, promptHash, draw);
@@ -34,7 +34,8 @@
 
 }  // namespace
 
-TEST_CASE("Prompts with one shared part go to one upstream, and few move when one leaves") {
+TEST_CASE(
+    "Prompts with the same shared part go to one upstream, and few move when an upstream leaves") {
     const auto all = Candidates();
     auto fewer = all;
     fewer.pop_back();
@@ -50,7 +51,7 @@
     CHECK(moved < 300);
 }
 
-TEST_CASE("No upstream is given more than the bound on all boxes' requests") {
+TEST_CASE("No upstream exceeds the bound on its load from all boxes") {
     auto candidates = Candidates();
     const AffinityPolicy policy;
     for (int i = 0; i < 50; ++i) {
@@ -64,10 +65,10 @@
     }
 }
 
-// Found on a day of a site of 85 boxes (mostrador-norte-grown fresh-cf51, LIMIT): with digests of
-// about 1 s, all boxes filled an upstream to far beyond the bound before one of them saw it there.
-TEST_CASE(
-    "Where loads are a sample, a request may overflow from the mean on, and all do at the bound") {
+// Guards against all boxes filling an upstream far beyond the bound before one of them sees its
+// load, since digests are about 1 s old. Seen on a day of a site of 85 boxes (mostrador-norte-grown
+// fresh-cf51, LIMIT).
+TEST_CASE("With sampled loads, some requests overflow above the mean, and all do at the bound") {
     auto candidates = Candidates();
     const AffinityPolicy sharp;
     AffinityPolicy drawn;
@@ -93,7 +94,7 @@
     CHECK(kept(drawn, 30) == 0);
 }
 
-TEST_CASE("Upstreams ejected are passed over unless nothing else is there") {
+TEST_CASE("Ejected upstreams are skipped unless there is no other") {
     auto candidates = Candidates();
     for (auto& candidate : candidates) {
         candidate.ejected = candidate.id != "c";
@@ -106,14 +107,14 @@
     CHECK(Chosen(policy, {}, 3, 3) == -1);
 }
 
-TEST_CASE("Upstreams that a request has tried are passed over unless nothing else is there") {
+TEST_CASE("Upstreams that a request has tried are skipped unless there is no other") {
     auto candidates = Candidates();
     const PlacementPolicy policy =
         GENERATE(PlacementPolicy(AffinityPolicy{}), PlacementPolicy(ZoneFirstPolicy{}));
     for (auto& candidate : candidates) {
         candidate.tried = candidate.id != "c";
     }
-    // One that is ejected goes before one that was tried.
+    // An ejected upstream is preferred to one that was tried.
     candidates[2].ejected = true;
     CHECK(Chosen(policy, candidates, 3, 3) == 2);
     candidates[2].tried = true;
@@ -121,7 +122,7 @@
     CHECK(Chosen(policy, candidates, 3, 3) != 2);
 }
 
-TEST_CASE("The log can tell why an upstream was chosen") {
+TEST_CASE("A choice has the reason for it") {
     auto candidates = Candidates();
     const PlacementPolicy policy = AffinityPolicy{};
     const auto reason = [&] { return ChooseUpstream(policy, candidates, 7, 7)->reason; };
@@ -139,7 +140,7 @@
           PlacementReason::kOtherZone);
 }
 
-TEST_CASE("Where all upstreams are ejected, the reason is the bound and not the ejection") {
+TEST_CASE("If all upstreams are ejected, the reason is the bound and not the ejection") {
     auto candidates = Candidates();
     const PlacementPolicy policy = AffinityPolicy{};
     candidates[Chosen(policy, candidates, 7, 7)].load = 50;
@@ -149,7 +150,7 @@
     CHECK(ChooseUpstream(policy, candidates, 7, 7)->reason == PlacementReason::kOverflow);
 }
 
-TEST_CASE("Affinity follows the prompt, whatever the request's own number") {
+TEST_CASE("Affinity depends on the prompt and not on the request's random number") {
     const auto candidates = Candidates();
     std::set<int> affinity;
     for (uint64_t draw = 0; draw < 100; ++draw) {
@@ -158,7 +159,7 @@
     CHECK(affinity.size() == 1);
 }
 
-TEST_CASE("Plain services prefer the own zone until its upstreams are full") {
+TEST_CASE("Plain services prefer this box's zone until its upstreams are full") {
     auto candidates = Candidates();
     candidates[3].sameZone = true;
     candidates[3].slots = 2;
@@ -168,12 +169,13 @@
     CHECK(Chosen(ZoneFirstPolicy{}, candidates, 1, 1) != 3);
 }
 
-// Seen in the replay of LoadExchangeTest: all boxes sent a prompt that many ask for to the next in
-// order that looked empty, filled it before they saw it, and went on to the next.
-TEST_CASE("Where loads are a sample, a prompt that many ask for is shared by several upstreams") {
+// Guards against all boxes sending a popular prompt to the next upstream in order that looks empty,
+// filling it before they see its load, and then moving on to the next one. Seen in the replay of
+// LoadExchangeTest.
+TEST_CASE("With sampled loads, a popular prompt is spread over several upstreams") {
     std::vector<std::string> ids;
     std::vector<PlacementCandidate> candidates(16);
-    ids.reserve(candidates.size());  // The candidates view them.
+    ids.reserve(candidates.size());  // The candidates refer to these strings.
     for (size_t i = 0; i < candidates.size(); ++i) {
         ids.push_back("upstream-" + std::to_string(i));
         candidates[i].id = ids[i];
@@ -191,11 +193,12 @@
         return counts;
     };
     CHECK(chosen().size() == 1);
-    // The first one is full, the others are not: its neighbour in order takes what it cannot.
+    // The first choice is full and the others are not: the next upstream in order takes the
+    // overflow.
     const int first = chosen().begin()->first;
     candidates[first].load = 8;
     CHECK(chosen().size() == 2);
-    // Full far over the mean: more of them share, and none gets all of it.
+    // With a load far above the mean, more upstreams share the prompt, and none gets all of it.
     candidates[first].load = 20;
     const auto shared = chosen();
     CHECK(shared.size() >= 3);
@@ -203,7 +206,7 @@
     for (const auto& [index, count] : shared) {
         CHECK(count < 768);
     }
-    // No room anywhere: no single one gets it all either.
+    // With no room anywhere, no single upstream gets all of it either.
     for (auto& candidate : candidates) {
         candidate.slots = 1;
     }
--- a/tests/LoadEstimateTest.cpp
+++ b/tests/LoadEstimateTest.cpp
@@ -11,9 +11,10 @@
 
 using namespace onyx;
 
-// Found on a day of a site of 85 boxes: each box heard of 32 others, and took what they told for
-// all that was in flight, so that upstreams were given more than they have room for.
-TEST_CASE("Boxes that tell nothing are taken to be like those that do") {
+// Guards against taking the counts of some boxes for the load of all. On a day of a site of 85
+// boxes, each box received the counts of 32 others and ignored the rest, so upstreams were sent
+// more requests than they had room for.
+TEST_CASE("Boxes that are not counted are assumed to have the load of those that are") {
     constexpr int kBoxes = 84;
     constexpr int kHeard = 32;
     constexpr int kLoad = 42;  // Of all boxes together, half a request each.
@@ -23,44 +24,45 @@
     CHECK(estimate.fromCount(kHeard / 2) == Approx(kLoad));
 }
 
-TEST_CASE("Where all boxes are counted, the count is the load") {
+TEST_CASE("If all boxes are counted, the count is the load") {
     const std::vector<int> counted{0, 3, 9, 1};
     const LoadEstimate estimate(counted, 1);
     CHECK(estimate.fromCount(0) == 0);
     CHECK(estimate.fromCount(9) == 9);
 }
 
-TEST_CASE("Without any count nothing is made up") {
+TEST_CASE("Without any count the estimate is 0") {
     CHECK(LoadEstimate({}, 0.1).fromCount(0) == 0);
     const std::vector<int> counted(5, 0);
     CHECK(LoadEstimate(counted, 0.1).fromCount(0) == 0);
     CHECK(LoadEstimate(counted, 0.1).mean() == 0);
 }
 
-// Seen: on a site of 295 boxes before 160 upstreams one request in six left the upstream that holds
-// its prompt, on a day without trouble; the prompt was copied to another upstream each time, or
-// read anew. How: a box hears a ninth of the others. A single request among these counted as nine.
-// Cause: the count was scaled up by the part that was heard, as if it had no error.
-// Proof: all boxes' logs; where requests left, the upstream they left was validFor to be full by
-// such a count in 99 of 100 cases, and the upstreams' real load was the same as anywhere.
-TEST_CASE("One request that is heard of makes no upstream seem full") {
+// Guards against scaling a count up by the counted share as if the count had no error. With 295
+// boxes, 160 upstreams and counts from one box in nine, a single counted request became nine. One
+// request in six then left the upstream that holds its prompt on a day without any fault, and each
+// time the prompt was copied to another upstream or processed again. According to all boxes' logs,
+// the upstream that a request left appeared full because of such a count in 99 of 100 cases, while
+// its real load was the same as anywhere else.
+TEST_CASE("A single counted request does not make an upstream appear full") {
     constexpr double kShare = 33.0 / 295;
     constexpr int kUpstreams = 160;
     std::vector<int> counted(kUpstreams, 0);
     std::fill(counted.begin(), counted.begin() + kUpstreams / 3, 1);
     const LoadEstimate estimate(counted, kShare);
     CHECK(estimate.mean() == Approx(2.96).margin(0.01));
-    // A request more than the mean and no more than two: all that one request can say.
+    // The estimate is about one request above the mean, and at most two: a single counted request
+    // is evidence for no more.
     CHECK(estimate.fromCount(1) >= 3);
     CHECK(estimate.fromCount(1) <= 5);
     CHECK(estimate.fromCount(0) >= 2);
-    // More of them do say something.
+    // Several counted requests are evidence of a higher load.
     CHECK(estimate.fromCount(3) >= 6);
 }
 
-// Found by reading: counts of plain upstreams were cut to what models usually report, so that a
-// full one never counted as full.
-TEST_CASE("An upstream that many are sent to counts as full, whether or not it ever reported") {
+// Guards against capping the counts of plain upstreams at the load that models usually report, so
+// that a full one never counted as full. Found in code review.
+TEST_CASE("An upstream with a high count counts as full even if it never reported its load") {
     constexpr double kShare = 33.0 / 295;
     constexpr int kSlots = 6;
     const std::vector<int> counted{0, 0, 1, 0, 4};
@@ -69,7 +71,7 @@
     CHECK(estimate.fromCount(0) < estimate.fromCount(1));
 }
 
-TEST_CASE("A report counts for itself while it is new, and for what comes there when it is old") {
+TEST_CASE("A new report is used as it is, and an old one as evidence of the rate of requests") {
     const std::vector<int> counted(160, 1);  // 9 requests at each.
     const LoadEstimate estimate(counted, 33.0 / 295);
     CHECK(estimate.fromReport({20, 0}) == Approx(20));
@@ -81,7 +83,7 @@
     CHECK(LoadEstimate({}, 1).fromReport({7, 500}) == Approx(7));
 }
 
-TEST_CASE("Estimates are right on the mean, whatever part of the boxes is counted") {
+TEST_CASE("Estimates are right on average for any counted share of the boxes") {
     const double share = GENERATE(0.03, 0.11, 0.4, 0.8);
     std::mt19937_64 random(7);
     std::gamma_distribution<double> rates(LoadEstimate::kRateShape, 4.0 / LoadEstimate::kRateShape);
@@ -109,16 +111,16 @@
 
 namespace {
 
-// Pattern: 295 boxes before 160 model upstreams, long prompts, chats and checks as a second brings
-// them there; no hot prompt, no burst, nobody in trouble.
+// 295 boxes and 160 model upstreams, with requests with long prompts, chats and checks at the rates
+// per second seen there. There is no hot prompt, no burst and no fault.
 constexpr FleetSize kLargeSite{295, 160, 64};
-constexpr Millis kStretch = 5000;  // The operators judge their limit over five seconds.
-// Of the arrivals in a stretch that may be at an upstream over the limit; the operators allow 3 in
+constexpr Millis kStretch = 5000;  // The operators evaluate their limit over five seconds.
+// Maximum share of the arrivals in kStretch at an upstream over the limit; the operators allow 3 in
 // 100.
 constexpr double kMaxOver = 0.01;
-// Of the requests that may leave the upstream that holds their prompt. While one in six did,
-// prompts moved and parts read again cost 0.058 of a day's credit; they are to cost less than 0.04,
-// part of it for other reasons.
+// Maximum share of the requests that leave the upstream that holds their prompt. When one in six
+// left, prompts moved and parts processed again cost 0.058 of a day's credit. The target is less
+// than 0.04, part of which has other causes.
 constexpr double kMaxMoved = 0.1;
 
 std::vector<FleetTraffic> LargeTraffic() {
@@ -127,7 +129,7 @@
 
 }  // namespace
 
-TEST_CASE("On a site of hundreds of boxes prompts stay where they are while nothing is full") {
+TEST_CASE("On a site of hundreds of boxes, prompts stay at their upstream while none is full") {
     const uint64_t seed = GENERATE(1, 2);
     Fleet fleet(kLargeSite, LargeTraffic(), seed);
     fleet.play(2 * kStretch);
--- a/tests/PeerCountsTest.cpp
+++ b/tests/PeerCountsTest.cpp
@@ -6,7 +6,7 @@
 
 using namespace onyx;
 
-TEST_CASE("Other boxes' counts add up while they are fresh") {
+TEST_CASE("Other boxes' counts add up until they expire") {
     PeerCounts peers;
     const uint32_t number = ShortHash("a");
     peers.take("box-1", {{number, 2}}, {0}, 1000);
@@ -23,18 +23,18 @@
     CHECK(peers.at("a") == 0);
 }
 
-TEST_CASE("Only boxes that were heard of lately are a part of the site that counts") {
+TEST_CASE("The counted share includes only boxes with an unexpired digest") {
     PeerCounts peers;
     peers.setSite(85, 32.0 / 84);
     CHECK(peers.isSample());
-    // As after a start: nobody was heard of yet.
+    // As after a start: no digest has been received yet.
     CHECK(peers.countedShare() == Approx(1.0 / 85));
     peers.take("box-1", {}, {0}, 1000);
     peers.take("box-2", {}, {500}, 1000);
     CHECK(peers.countedShare() == Approx(3.0 / 85));
     peers.expire({1200});
     CHECK(peers.countedShare() == Approx(2.0 / 85));
-    // Boxes that are no longer known may still be heard of.
+    // Digests of boxes that have left the list may still be counted.
     peers.setSite(1, 1);
     CHECK(peers.countedShare() == 1);
 }
--- a/tests/UpstreamLoadsTest.cpp
+++ b/tests/UpstreamLoadsTest.cpp
@@ -6,7 +6,7 @@
 
 using namespace onyx;
 
-TEST_CASE("What an answer told of others' requests counts on top of the own, for a while") {
+TEST_CASE("Other boxes' requests from a recent report are added to this box's own") {
     UpstreamLoads loads;
     loads.enter("a");
     loads.enter("a");
@@ -22,7 +22,7 @@
     CHECK(loads.counts().empty());
 }
 
-TEST_CASE("Of two reports the newer one counts, whichever way it came") {
+TEST_CASE("Of two reports the newer one counts, whichever path it took") {
     UpstreamLoads loads;
     const uint32_t number = ShortHash("a");
     loads.noteReportedLoad("a", 5, {1000});
@@ -30,16 +30,16 @@
     CHECK(loads.reported("a", {1010}) == 5);
     loads.noteForwardedReport({number, 7, {1005}}, {1020});
     CHECK(loads.reported("a", {1020}) == 7);
-    // This box's requests since the report come on top.
+    // This box's requests since the report are added.
     loads.enter("a");
     CHECK(loads.reported("a", {1020}) == 8);
-    // A report is as old as it says, however late it comes.
+    // A report's age is counted from its own time and not from its arrival.
     loads.noteForwardedReport({ShortHash("b"), 4, {0}}, {UpstreamLoads::kReportAge + 1});
     CHECK_FALSE(loads.reported("b", {UpstreamLoads::kReportAge + 1}));
     CHECK_FALSE(loads.reported("a", {1005 + UpstreamLoads::kReportAge + 1}));
 }
 
-TEST_CASE("A report is passed on once, the fullest upstream first, its own and others'") {
+TEST_CASE("Own and received reports are forwarded once, highest load first") {
     UpstreamLoads loads;
     loads.noteReportedLoad("a", 5, {1000});
     loads.noteForwardedReport({ShortHash("b"), 9, {990}}, {1000});
@@ -52,19 +52,19 @@
     REQUIRE(second.size() == 1);
     CHECK(second[0].upstream == ShortHash("a"));
     CHECK(loads.takeDueReports(2, {1000}).empty());
-    // Nearly the same again waits; a change does not.
+    // A load that has barely changed waits; a changed one does not.
     loads.noteReportedLoad("a", 6, {1010});
     loads.noteReportedLoad("c", 9, {1010});
     const auto changed = loads.takeDueReports(9, {1010});
     REQUIRE(changed.size() == 1);
     CHECK(changed[0].upstream == ShortHash("c"));
     CHECK(loads.takeDueReports(9, {1300}).size() == 1);
-    // What got old meanwhile is left: a newer one is on its way.
+    // A report that has become old is not forwarded, because a newer one is on its way.
     loads.noteReportedLoad("d", 5, {2000});
     CHECK(loads.takeDueReports(9, {2900}).empty());
 }
 
-TEST_CASE("Reports of upstreams that this box never used do not pile up") {
+TEST_CASE("Reports of upstreams that this box never used do not accumulate") {
     UpstreamLoads loads;
     for (uint32_t number = 0; number < 1000; ++number) {
         loads.noteForwardedReport({number, 9, {1000}}, {1000});
@@ -73,21 +73,21 @@
     loads.enter("a");
     CHECK(loads.takeDueReports(2000, {5000}).empty());
     CHECK(loads.counts().size() == 1);
-    // A report that comes once more is due again: nothing of it was kept.
+    // A report that arrives once more is due again, because nothing of the first one was kept.
     loads.noteForwardedReport({7, 9, {5000}}, {5000});
     CHECK(loads.takeDueReports(2000, {5000}).size() == 1);
 }
 
-TEST_CASE("The log can tell a load that was reported from an estimate, and how old the report is") {
+TEST_CASE("The age of the newest report is available, and nothing if there is no report") {
     UpstreamLoads loads;
     CHECK_FALSE(loads.reportAge("a", {1000}));
     loads.enter("a");
     CHECK_FALSE(loads.reportAge("a", {1000}));
     loads.noteReportedLoad("a", 4, {1000});
     CHECK(loads.reportAge("a", {1300}) == Millis{300});
-    // An older one that another box passes on changes nothing.
+    // An older report that another box forwards changes nothing.
     loads.noteForwardedReport({ShortHash("a"), 9, {900}}, {1400});
     CHECK(loads.reportAge("a", {1400}) == Millis{400});
-    // It is told also when it is too old to count.
+    // The age is returned even if the report is too old to be used.
     CHECK(loads.reportAge("a", {9000}) == Millis{8000});
 }
