--- a/tests/CacheDirectoryTest.cpp
+++ b/tests/CacheDirectoryTest.cpp
@@ -125,7 +125,7 @@
     CHECK(caches.size() == 10);
 }
 
-TEST_CASE("A fetch source has the reason for its selection") {
+TEST_CASE("The reason for a fetch source is available for the log") {
     CacheDirectory caches(100, 60000);
     std::vector<CacheCandidate> candidates = {{"a", true, false}, {"b", true, false}};
     const std::vector<std::string> parts = {"first", "last"};
--- a/tests/ChooseUpstreamTest.cpp
+++ b/tests/ChooseUpstreamTest.cpp
@@ -122,7 +122,7 @@
     CHECK(Chosen(policy, candidates, 3, 3) != 2);
 }
 
-TEST_CASE("A choice has the reason for it") {
+TEST_CASE("The reason for a choice is available for the log") {
     auto candidates = Candidates();
     const PlacementPolicy policy = AffinityPolicy{};
     const auto reason = [&] { return ChooseUpstream(policy, candidates, 7, 7)->reason; };
--- a/tests/UpstreamLoadsTest.cpp
+++ b/tests/UpstreamLoadsTest.cpp
@@ -78,7 +78,7 @@
     CHECK(loads.takeDueReports(2000, {5000}).size() == 1);
 }
 
-TEST_CASE("The age of the newest report is available, and nothing if there is no report") {
+TEST_CASE("Whether a load was reported, and how long ago, is available for the log") {
     UpstreamLoads loads;
     CHECK_FALSE(loads.reportAge("a", {1000}));
     loads.enter("a");
