--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -134,7 +134,7 @@
     // Preconditions: validFor > 0; times do not fall.
     void notePeerLoads(const std::string& box, PeerCounts::Counts counts, MonoTime now,
                        Millis validFor) {
-        m_peerCounts.take(box, std::move(counts), now, validFor);
+        m_peerCounts.update(box, std::move(counts), now, validFor);
     }
     // Loads that upstreams reported, as other boxes pass them on, and what is to be passed on to
     // them. Preconditions: times do not fall.
@@ -145,7 +145,9 @@
     std::vector<LoadReport> takeDueReports(size_t most, MonoTime now) {
         return m_loads.takeDueReports(most, now);
     }
-    void noteHolding(const CacheHolding& holding, MonoTime now) { m_caches.learn(holding, now); }
+    void noteHolding(const CacheHolding& holding, MonoTime now) {
+        m_caches.recordAnnouncement(holding, now);
+    }
     // Forgets the loads of a box whose link is gone, and those that are no longer valid.
     // Preconditions: none.
     void forgetPeer(const std::string& box) { m_peerCounts.forget(box); }
--- a/include/placement/CacheDirectory.h
+++ b/include/placement/CacheDirectory.h
@@ -38,7 +38,7 @@
     bool settled = true;    // Listed for at least CacheDirectory::kSettledAge.
 };
 
-// Why an upstream was selected as the source of a fetch; logged.
+// Why an upstream was selected as the selectSource of a fetch; logged.
 enum class CacheSourceReason : uint8_t {
     kHolder,     // Known to hold the last shared part.
     kPreferred,  // The upstream that all boxes prefer for prompts with this part.
@@ -78,7 +78,7 @@
     void recordAnswer(std::span<const std::string> parts, std::string_view upstream, MonoTime now);
 
     // Records a holding that another box announced. Preconditions: as for recordAnswer().
-    void learn(const CacheHolding& holding, MonoTime now);
+    void recordAnnouncement(const CacheHolding& holding, MonoTime now);
 
     // Returns true if there are holdings to announce. Preconditions: none.
     bool hasAnnouncements() const { return !m_pendingAnnouncements.empty(); }
@@ -93,9 +93,10 @@
     // Selects the upstream from which `chosen` should fetch: a known holder of the last part,
     // otherwise the settled candidate that prompts with this part prefer, otherwise a known holder
     // of an earlier part. Returns nothing if a fetch would gain nothing. Preconditions: none.
-    std::optional<CacheSource> source(std::span<const std::string> parts, std::string_view chosen,
-                                      std::span<const CacheCandidate> candidates,
-                                      MonoTime now) const;
+    std::optional<CacheSource> selectSource(std::span<const std::string> parts,
+                                            std::string_view chosen,
+                                            std::span<const CacheCandidate> candidates,
+                                            MonoTime now) const;
 
     // Returns the ShortHash ids of the upstreams that hold `part`. Preconditions: none.
     std::vector<uint32_t> holders(std::string_view part, MonoTime now) const;
--- a/include/placement/PeerCounts.h
+++ b/include/placement/PeerCounts.h
@@ -21,7 +21,7 @@
 
     // Records a box's digest, replacing its previous one. The digest counts for `validFor`
     // milliseconds. Preconditions: validFor > 0.
-    void take(const std::string& box, Counts counts, MonoTime now, Millis validFor);
+    void update(const std::string& box, Counts counts, MonoTime now, Millis validFor);
 
     // Removes the digest of a box whose link is down. Preconditions: none.
     void forget(const std::string& box);
--- a/include/placement/UpstreamLoads.h
+++ b/include/placement/UpstreamLoads.h
@@ -39,10 +39,10 @@
     static constexpr Millis kReportRetention = 4000;
 
     // Counts a request sent to `upstream`. Preconditions: none.
-    void enter(const std::string& upstream);
+    void addRequest(const std::string& upstream);
 
-    // Removes an ended request from the count. Preconditions: enter() counted it.
-    void leave(const std::string& upstream);
+    // Removes an ended request from the count. Preconditions: addRequest() counted it.
+    void removeRequest(const std::string& upstream);
 
     // Records the load reported in an answer to this box. Preconditions: times do not decrease.
     void noteReportedLoad(const std::string& upstream, int load, MonoTime now);
@@ -88,8 +88,8 @@
     void forget(const std::string& upstream);
 
     // Removes the request count and reports of an upstream that has restarted, since those requests
-    // ended with its previous incarnation. leave() must not be called for them. Preconditions:
-    // none.
+    // ended with its previous incarnation. removeRequest() must not be called for them.
+    // Preconditions: none.
     void reset(const std::string& upstream) { m_records.erase(ShortHash(upstream)); }
 
 private:
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -209,7 +209,8 @@
         candidates.push_back({id, !records.isEjected(id, now), settled});
         holders.push_back(&entry.upstream);
     }
-    const auto source = records.caches().source(question.sharedParts, chosen.id, candidates, now);
+    const auto source =
+        records.caches().selectSource(question.sharedParts, chosen.id, candidates, now);
     if (!source) {
         return std::nullopt;
     }
--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -25,7 +25,7 @@
 uint64_t UpstreamRecords::attemptBegan(const Incarnation& upstream,
                                        std::function<void()> onRestart) {
     if (!isPast(upstream)) {
-        m_loads.enter(upstream.id);
+        m_loads.addRequest(upstream.id);
     }
     m_underWay[++m_attempts] = {upstream, std::move(onRestart)};
     return m_attempts;
@@ -39,7 +39,7 @@
         return;
     }
     if (!isPast(it->second.upstream)) {
-        m_loads.leave(it->second.upstream.id);
+        m_loads.removeRequest(it->second.upstream.id);
     }
     m_underWay.erase(it);
 }
--- a/src/placement/CacheDirectory.cpp
+++ b/src/placement/CacheDirectory.cpp
@@ -74,7 +74,7 @@
     }
 }
 
-void CacheDirectory::learn(const CacheHolding& holding, MonoTime now) {
+void CacheDirectory::recordAnnouncement(const CacheHolding& holding, MonoTime now) {
     record(holding, now);
 }
 
@@ -128,10 +128,10 @@
     return std::nullopt;
 }
 
-std::optional<CacheSource> CacheDirectory::source(std::span<const std::string> parts,
-                                                  std::string_view chosen,
-                                                  std::span<const CacheCandidate> candidates,
-                                                  MonoTime now) const {
+std::optional<CacheSource> CacheDirectory::selectSource(std::span<const std::string> parts,
+                                                        std::string_view chosen,
+                                                        std::span<const CacheCandidate> candidates,
+                                                        MonoTime now) const {
     const uint32_t chosenHash = ShortHash(chosen);
     for (auto part = parts.rbegin(); part != parts.rend(); ++part) {
         const bool last = part == parts.rbegin();
--- a/src/placement/PeerCounts.cpp
+++ b/src/placement/PeerCounts.cpp
@@ -6,7 +6,7 @@
 
 namespace onyx {
 
-void PeerCounts::take(const std::string& box, Counts counts, MonoTime now, Millis validFor) {
+void PeerCounts::update(const std::string& box, Counts counts, MonoTime now, Millis validFor) {
     forget(box);
     for (const auto& [upstream, count] : counts) {
         m_sums[upstream] += count;
--- a/src/placement/UpstreamLoads.cpp
+++ b/src/placement/UpstreamLoads.cpp
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-void UpstreamLoads::enter(const std::string& upstream) {
+void UpstreamLoads::addRequest(const std::string& upstream) {
     ++m_records[ShortHash(upstream)].own;
 }
 
-void UpstreamLoads::leave(const std::string& upstream) {
+void UpstreamLoads::removeRequest(const std::string& upstream) {
     const auto it = m_records.find(ShortHash(upstream));
     if (it != m_records.end() && it->second.own > 0) {
         --it->second.own;
--- a/tests/CacheDirectoryTest.cpp
+++ b/tests/CacheDirectoryTest.cpp
@@ -13,7 +13,7 @@
 // Returns the index of the candidate to fetch from, or -1 if a fetch would gain nothing.
 int SourceOf(const CacheDirectory& caches, const std::vector<std::string>& parts,
              std::string_view chosen, const std::vector<CacheCandidate>& candidates, MonoTime now) {
-    const auto source = caches.source(parts, chosen, candidates, now);
+    const auto source = caches.selectSource(parts, chosen, candidates, now);
     return source ? static_cast<int>(source->index) : -1;
 }
 
@@ -67,7 +67,7 @@
     seer.recordAnswer(parts, "b", {0});
     CHECK(SourceOf(other, parts, "a", candidates, {10}) == -1);
     for (const CacheHolding& holding : seer.takeAnnouncements()) {
-        other.learn(holding, {10});
+        other.recordAnnouncement(holding, {10});
     }
     CHECK(SourceOf(other, parts, "a", candidates, {20}) == 1);
     CHECK(SourceOf(other, parts, "b", candidates, {20}) == -1);
@@ -98,7 +98,7 @@
     CHECK_FALSE(caches.hasAnnouncements());
     CacheDirectory other(100, 10000);
     for (const CacheHolding& holding : announced) {
-        other.learn(holding, {100});
+        other.recordAnnouncement(holding, {100});
     }
     other.recordAnswer(parts, "a", {200});
     CHECK_FALSE(other.hasAnnouncements());
@@ -131,9 +131,10 @@
     const std::vector<std::string> parts = {"first", "last"};
     const std::vector<std::string> first = {"first"};
     caches.recordAnswer(first, "b", {0});
-    CHECK(caches.source(parts, "a", candidates, {1})->reason == CacheSourceReason::kPrefix);
+    CHECK(caches.selectSource(parts, "a", candidates, {1})->reason == CacheSourceReason::kPrefix);
     candidates[1].settled = true;
-    CHECK(caches.source(parts, "a", candidates, {1})->reason == CacheSourceReason::kPreferred);
+    CHECK(caches.selectSource(parts, "a", candidates, {1})->reason ==
+          CacheSourceReason::kPreferred);
     caches.recordAnswer(parts, "b", {2});
-    CHECK(caches.source(parts, "a", candidates, {3})->reason == CacheSourceReason::kHolder);
+    CHECK(caches.selectSource(parts, "a", candidates, {3})->reason == CacheSourceReason::kHolder);
 }
--- a/tests/UpstreamLoadsTest.cpp
+++ b/tests/UpstreamLoadsTest.cpp
@@ -8,16 +8,16 @@
 
 TEST_CASE("Other boxes' requests from a recent report are added to this box's own") {
     UpstreamLoads loads;
-    loads.enter("a");
-    loads.enter("a");
+    loads.addRequest("a");
+    loads.addRequest("a");
     loads.noteReportedLoad("a", 5, {0});
-    loads.leave("a");
+    loads.removeRequest("a");
     CHECK(loads.own("a") == 1);
     CHECK(loads.total("a", {500}) == 4);
     CHECK(loads.total("a", {UpstreamLoads::kReportAge + 1}) == 1);
     loads.forget("a");
     CHECK(loads.own("a") == 1);
-    loads.leave("a");
+    loads.removeRequest("a");
     loads.forget("a");
     CHECK(loads.counts().empty());
 }
@@ -31,7 +31,7 @@
     loads.noteForwardedReport({number, 7, {1005}}, {1020});
     CHECK(loads.reported("a", {1020}) == 7);
     // This box's requests since the report are added.
-    loads.enter("a");
+    loads.addRequest("a");
     CHECK(loads.reported("a", {1020}) == 8);
     // A report's age is counted from its own time and not from its arrival.
     loads.noteForwardedReport({ShortHash("b"), 4, {0}}, {UpstreamLoads::kReportAge + 1});
@@ -70,7 +70,7 @@
         loads.noteForwardedReport({number, 9, {1000}}, {1000});
     }
     CHECK(loads.takeDueReports(2000, {1000}).size() == 1000);
-    loads.enter("a");
+    loads.addRequest("a");
     CHECK(loads.takeDueReports(2000, {5000}).empty());
     CHECK(loads.counts().size() == 1);
     // A report that arrives once more is due again, because nothing of the first one was kept.
@@ -81,7 +81,7 @@
 TEST_CASE("Whether a load was reported, and how long ago, is available for the log") {
     UpstreamLoads loads;
     CHECK_FALSE(loads.reportAge("a", {1000}));
-    loads.enter("a");
+    loads.addRequest("a");
     CHECK_FALSE(loads.reportAge("a", {1000}));
     loads.noteReportedLoad("a", 4, {1000});
     CHECK(loads.reportAge("a", {1300}) == Millis{300});
