--- a/src/placement/ChooseUpstream.cpp
+++ b/src/placement/ChooseUpstream.cpp
@@ -199,8 +199,8 @@
         const double limiting = std::min(mean, policy.serviceMean.value_or(mean));
         const double highest = policy.multiple * limiting + policy.margin;
         if (!policy.randomizeBound) {
-            const int sharp = static_cast<int>(std::ceil(highest));
-            return {sharp, sharp};
+            const int fixedBound = static_cast<int>(std::ceil(highest));
+            return {fixedBound, fixedBound};
         }
         return {randomBound(mean + kMinRandomMargin, highest),
                 randomBound(mean + kMinReportedMargin, highest)};
--- a/tests/CacheDirectoryTest.cpp
+++ b/tests/CacheDirectoryTest.cpp
@@ -59,14 +59,14 @@
 // over from another one then processed parts again that a third upstream held. Seen in the logs of
 // pcw-onyx scale-2.
 TEST_CASE("A part is fetched from a holder that another box announced") {
-    CacheDirectory seer(100, 60000);
+    CacheDirectory observer(100, 60000);
     CacheDirectory other(100, 60000);
     const std::vector<CacheCandidate> candidates = {
         {"a", true, false}, {"b", true, false}, {"c", true, false}};
     const std::vector<std::string> parts = {"first", "last"};
-    seer.recordAnswer(parts, "b", {0});
+    observer.recordAnswer(parts, "b", {0});
     CHECK(SourceOf(other, parts, "a", candidates, {10}) == -1);
-    for (const CacheHolding& holding : seer.takeAnnouncements()) {
+    for (const CacheHolding& holding : observer.takeAnnouncements()) {
         other.recordAnnouncement(holding, {10});
     }
     CHECK(SourceOf(other, parts, "a", candidates, {20}) == 1);
--- a/tests/ChooseUpstreamTest.cpp
+++ b/tests/ChooseUpstreamTest.cpp
@@ -70,11 +70,11 @@
 // fresh-cf51, LIMIT).
 TEST_CASE("With sampled loads, some requests overflow above the mean, and all do at the bound") {
     auto candidates = Candidates();
-    const AffinityPolicy sharp;
-    AffinityPolicy drawn;
-    drawn.randomizeBound = true;
+    const AffinityPolicy fixedBound;
+    AffinityPolicy randomBound;
+    randomBound.randomizeBound = true;
     constexpr uint64_t kKey = 7;
-    const int preferred = Chosen(sharp, candidates, kKey, 0);
+    const int preferred = Chosen(fixedBound, candidates, kKey, 0);
     const auto kept = [&](const AffinityPolicy& policy, int load) {
         for (auto& candidate : candidates) {
             candidate.load = 10;
@@ -86,12 +86,12 @@
         }
         return count;
     };
-    CHECK(kept(drawn, 10) == 1024);
-    CHECK(kept(sharp, 15) == 1024);
-    CHECK(kept(drawn, 15) > 256);
-    CHECK(kept(drawn, 15) < 768);
-    CHECK(kept(sharp, 30) == 0);
-    CHECK(kept(drawn, 30) == 0);
+    CHECK(kept(randomBound, 10) == 1024);
+    CHECK(kept(fixedBound, 15) == 1024);
+    CHECK(kept(randomBound, 15) > 256);
+    CHECK(kept(randomBound, 15) < 768);
+    CHECK(kept(fixedBound, 30) == 0);
+    CHECK(kept(randomBound, 30) == 0);
 }
 
 TEST_CASE("Ejected upstreams are skipped unless there is no other") {
--- a/tests/LoadEstimateTest.cpp
+++ b/tests/LoadEstimateTest.cpp
@@ -16,12 +16,12 @@
 // more requests than they had room for.
 TEST_CASE("Boxes that are not counted are assumed to have the load of those that are") {
     constexpr int kBoxes = 84;
-    constexpr int kHeard = 32;
+    constexpr int kCountedBoxes = 32;
     constexpr int kLoad = 42;  // Of all boxes together, half a request each.
-    const std::vector<int> counted(112, kHeard / 2);
-    const LoadEstimate estimate(counted, static_cast<double>(kHeard) / kBoxes);
+    const std::vector<int> counted(112, kCountedBoxes / 2);
+    const LoadEstimate estimate(counted, static_cast<double>(kCountedBoxes) / kBoxes);
     CHECK(estimate.mean() == Approx(kLoad));
-    CHECK(estimate.fromCount(kHeard / 2) == Approx(kLoad));
+    CHECK(estimate.fromCount(kCountedBoxes / 2) == Approx(kLoad));
 }
 
 TEST_CASE("If all boxes are counted, the count is the load") {
@@ -114,14 +114,14 @@
 // 295 boxes and 160 model upstreams, with requests with long prompts, chats and checks at the rates
 // per second seen there. There is no hot prompt, no burst and no fault.
 constexpr FleetSize kLargeSite{295, 160, 64};
-constexpr Millis kStretch = 5000;  // The operators evaluate their limit over five seconds.
-// Maximum share of the arrivals in kStretch at an upstream over the limit; the operators allow 3 in
-// 100.
-constexpr double kMaxOver = 0.01;
+constexpr Millis kLimitWindow = 5000;  // The operators evaluate their limit over five seconds.
+// Maximum share of the arrivals in kLimitWindow at an upstream over the limit; the operators allow
+// 3 in 100.
+constexpr double kMaxOverLimitShare = 0.01;
 // Maximum share of the requests that leave the upstream that holds their prompt. When one in six
 // left, prompts moved and parts processed again cost 0.058 of a day's credit. The target is less
 // than 0.04, part of which has other causes.
-constexpr double kMaxMoved = 0.1;
+constexpr double kMaxMovedShare = 0.1;
 
 std::vector<FleetTraffic> LargeTraffic() {
     return {{190, 287, 60, 1100}, {340, 513, 30, 900}, {292, 991, 35, 40}};
@@ -132,8 +132,8 @@
 TEST_CASE("On a site of hundreds of boxes, prompts stay at their upstream while none is full") {
     const uint64_t seed = GENERATE(1, 2);
     Fleet fleet(kLargeSite, LargeTraffic(), seed);
-    fleet.play(2 * kStretch);
-    const FleetStats figures = fleet.play(kStretch);
-    CHECK(1 - figures.preferredShare() <= kMaxMoved);
-    CHECK(figures.overShare() < kMaxOver);
+    fleet.play(2 * kLimitWindow);
+    const FleetStats figures = fleet.play(kLimitWindow);
+    CHECK(1 - figures.preferredShare() <= kMaxMovedShare);
+    CHECK(figures.overShare() < kMaxOverLimitShare);
 }
