--- a/tests/ColdShareTest.cpp
+++ b/tests/ColdShareTest.cpp
@@ -17,7 +17,7 @@
 const Incarnation kUpstream{"i-cold", 1};
 // The operators' figures of the first site that has them.
 constexpr ColdLimit kLimit{8.9, 1.5, 5};
-constexpr double kAllowed = 8.9 * 1.5 + 5;
+constexpr double kMaxPerSecond = 8.9 * 1.5 + 5;
 constexpr Millis kStep = 10;
 constexpr Millis kMaxDelay = 300;  // Between the choice and the arrival.
 
@@ -27,7 +27,7 @@
     ColdUpstreams cold;
 };
 
-struct Seen {
+struct SendRate {
     size_t mostInASecond = 0;
     double perSecond = 0;
 };
@@ -40,7 +40,7 @@
             m_boxes.back()->address = "10.0." + std::to_string(i) + ":1";
         }
         for (const auto& box : m_boxes) {
-            meet(*box, 1.0);
+            discoverBoxes(*box, 1.0);
         }
         m_now = m_now + ColdShare::kDiscoveryTime;
     }
@@ -48,17 +48,17 @@
     size_t size() const { return m_boxes.size(); }
     Box& box(size_t i) { return *m_boxes.at(i); }
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
-    // The box starts anew and hears of so many of the others.
-    void restart(size_t i, double hears) {
+    // The box starts anew and discoveredShare of so many of the others.
+    void restart(size_t i, double discoveredShare) {
         const std::string address = box(i).address;
         m_boxes.at(i) = std::make_unique<Box>();
         box(i).address = address;
-        meet(box(i), hears);
+        discoverBoxes(box(i), discoveredShare);
     }
-    void meet(Box& box, double hears) {
+    void discoverBoxes(Box& box, double discoveredShare) {
         std::vector<std::string> others;
         for (const auto& other : m_boxes) {
-            if (other->address != box.address && uniform() < hears) {
+            if (other->address != box.address && uniform() < discoveredShare) {
                 others.push_back(other->address);
             }
         }
@@ -67,13 +67,13 @@
     }
 
     // Each box has a request for the upstream in each step, which stays cold.
-    Seen play(Millis time) {
+    SendRate runFor(Millis time) {
         std::vector<Millis> arrivals;
         const MonoTime end = m_now + time;
         while (m_now < end) {
             for (const auto& box : m_boxes) {
                 box->cold.note(kUpstream, 3000, m_now);
-                if (mayGo(*box)) {
+                if (maySendNow(*box)) {
                     box->cold.noteSent(kUpstream, m_now);
                     const auto delay = static_cast<Millis>(uniform() * kMaxDelay);
                     arrivals.push_back(m_now.ms + delay);
@@ -81,18 +81,18 @@
             }
             m_now = m_now + kStep;
         }
-        return seenOf(arrivals, time);
+        return measure(arrivals, time);
     }
 
 private:
-    bool mayGo(const Box& box) const {
+    bool maySendNow(const Box& box) const {
         return box.share.maySend(kUpstream.id, m_now) &&
                box.cold.waitFor(kUpstream, box.share.spacing(kLimit), m_now) == 0;
     }
 
-    static Seen seenOf(std::vector<Millis> arrivals, Millis time) {
+    static SendRate measure(std::vector<Millis> arrivals, Millis time) {
         std::sort(arrivals.begin(), arrivals.end());
-        Seen seen;
+        SendRate seen;
         auto first = arrivals.begin();
         for (auto last = arrivals.begin(); last != arrivals.end(); ++last) {
             while (*last - *first >= 1000) {
@@ -117,10 +117,10 @@
     const size_t boxes = GENERATE(1, 2, 6, 73, 295, 340);
     const uint64_t seed = GENERATE(1, 2, 3);
     Site site(boxes, seed);
-    const Seen seen = site.play(10000);
+    const SendRate seen = site.runFor(10000);
     INFO("boxes " << boxes << " seed " << seed << ": " << seen.mostInASecond << " in a second, "
                   << seen.perSecond << " a second");
-    CHECK(static_cast<double>(seen.mostInASecond) <= kAllowed);
+    CHECK(static_cast<double>(seen.mostInASecond) <= kMaxPerSecond);
     CHECK(seen.perSecond > kLimit.perSecond / 2);
 }
 
@@ -128,21 +128,21 @@
     const size_t boxes = GENERATE(6, 73, 295, 340);
     const uint64_t seed = GENERATE(1, 2, 3, 4, 5);
     Site site(boxes, seed);
-    site.play(1000);
+    site.runFor(1000);
     for (size_t i = 0; i < boxes; ++i) {
-        const double fate = site.uniform();
-        if (fate < 0.2) {
+        const double outcome = site.uniform();
+        if (outcome < 0.2) {
             site.restart(i, 0.9);
-        } else if (fate < 0.3) {
+        } else if (outcome < 0.3) {
             site.box(i).share.setLinked(0);
-        } else if (fate < 0.6) {
-            site.meet(site.box(i), 0.8);
+        } else if (outcome < 0.6) {
+            site.discoverBoxes(site.box(i), 0.8);
         }
     }
-    const Seen seen = site.play(10000);
+    const SendRate seen = site.runFor(10000);
     INFO("boxes " << boxes << " seed " << seed << ": " << seen.mostInASecond << " in a second, "
                   << seen.perSecond << " a second");
-    CHECK(static_cast<double>(seen.mostInASecond) <= kAllowed);
+    CHECK(static_cast<double>(seen.mostInASecond) <= kMaxPerSecond);
 }
 
 TEST_CASE("A box that has just started or is linked to none sends a cold upstream nothing") {
