--- a/tests/Fleet.cpp
+++ b/tests/Fleet.cpp
@@ -266,7 +266,7 @@
     }
 }
 
-FleetStats Fleet::play(Millis time) {
+FleetStats Fleet::runFor(Millis time) {
     const MonoTime until = m_now + time;
     m_stats = {};
     while (!m_events.empty() && m_events.top().time <= until) {
--- a/tests/Fleet.h
+++ b/tests/Fleet.h
@@ -43,7 +43,7 @@
     double preferredShare() const {
         return arrivals == 0 ? 0 : static_cast<double>(preferred) / static_cast<double>(arrivals);
     }
-    double overShare() const {
+    double overLimitShare() const {
         return arrivals == 0 ? 0 : static_cast<double>(overLimit) / static_cast<double>(arrivals);
     }
 };
@@ -55,9 +55,9 @@
     ~Fleet();
 
     // Plays for `time` and tells what was seen in it.
-    FleetStats play(Millis time);
+    FleetStats runFor(Millis time);
     // All traffic comes `factor` times as often from now on.
-    void setRate(double factor) { m_rateFactor = factor; }
+    void setRateFactor(double factor) { m_rateFactor = factor; }
     // A share of the first kind of request asks for one prompt from now on.
     void setHotShare(double share) { m_hotShare = share; }
     // No box sends to a third of the upstreams from now on: their zone is evacuated.
--- a/tests/LoadEstimateTest.cpp
+++ b/tests/LoadEstimateTest.cpp
@@ -132,8 +132,8 @@
 TEST_CASE("On a site of hundreds of boxes, prompts stay at their upstream while none is full") {
     const uint64_t seed = GENERATE(1, 2);
     Fleet fleet(kLargeSite, LargeTraffic(), seed);
-    fleet.play(2 * kLimitWindow);
-    const FleetStats figures = fleet.play(kLimitWindow);
+    fleet.runFor(2 * kLimitWindow);
+    const FleetStats figures = fleet.runFor(kLimitWindow);
     CHECK(1 - figures.preferredShare() <= kMaxMovedShare);
-    CHECK(figures.overShare() < kMaxOverLimitShare);
+    CHECK(figures.overLimitShare() < kMaxOverLimitShare);
 }
--- a/tests/LoadExchangeTest.cpp
+++ b/tests/LoadExchangeTest.cpp
@@ -37,22 +37,22 @@
 // boxes tell each other ten times as often.
 TEST_CASE("A prompt that all ask for fills no upstream over the limit") {
     Fleet fleet(kSite, Traffic(), kSeed);
-    fleet.play(kWindow);
+    fleet.runFor(kWindow);
     fleet.setHotShare(0.28);
-    CHECK(fleet.play(kWindow).overShare() < kMaxOver);
-    CHECK(fleet.play(kWindow).overShare() < kMaxOver);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxOver);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxOver);
 }
 
 TEST_CASE("At the ordinary rate, in a burst and after restarts no upstream is over the limit") {
     Fleet fleet(kSite, Traffic(), kSeed);
-    CHECK(fleet.play(kWindow).overShare() < kMaxOver);
-    CHECK(fleet.play(kWindow).overShare() < kMaxOver);
-    fleet.setRate(1.8);
-    CHECK(fleet.play(kWindow).overShare() < kMaxOver);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxOver);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxOver);
+    fleet.setRateFactor(1.8);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxOver);
     fleet.restart(0.6);
-    CHECK(fleet.play(kWindow).overShare() < kMaxOver);
-    fleet.setRate(1);
-    CHECK(fleet.play(kWindow).overShare() < kMaxOver);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxOver);
+    fleet.setRateFactor(1);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxOver);
 }
 
 // Guards against a bound on loads that follows the mean of the upstreams in use alone, while the
@@ -60,11 +60,11 @@
 TEST_CASE("While a zone is evacuated no upstream of the others is over the limit") {
     constexpr double kMaxAllowed = 0.03;  // The operators' limit.
     Fleet fleet(kSite, Traffic(), kSeed);
-    fleet.play(kWindow);
+    fleet.runFor(kWindow);
     fleet.evacuateThird();
-    fleet.play(1000);
-    CHECK(fleet.play(kWindow).overShare() < kMaxAllowed);
-    CHECK(fleet.play(kWindow).overShare() < kMaxAllowed);
+    fleet.runFor(1000);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxAllowed);
+    CHECK(fleet.runFor(kWindow).overLimitShare() < kMaxAllowed);
 }
 
 TEST_CASE("Boxes of an earlier version get digests and no frames that they do not know") {
