--- a/include/placement/CacheDirectory.h
+++ b/include/placement/CacheDirectory.h
@@ -38,7 +38,7 @@
     bool settled = true;    // Listed for at least CacheDirectory::kSettledAge.
 };
 
-// Why an upstream was selected as the selectSource of a fetch; logged.
+// Why an upstream was selected as the source of a fetch; logged.
 enum class CacheSourceReason : uint8_t {
     kHolder,     // Known to hold the last shared part.
     kPreferred,  // The upstream that all boxes prefer for prompts with this part.
--- a/tests/ColdShareTest.cpp
+++ b/tests/ColdShareTest.cpp
@@ -1,6 +1,6 @@
-// The requests of a whole site to one cold upstream: many boxes, each with its own ColdShare and
-// ColdUpstreams and what it knows of the others. The pattern: an upstream comes back cold while all
-// boxes have more requests for it than it bears.
+// Simulates the requests of a whole site to one cold upstream: many boxes, each with its own
+// ColdShare, its own ColdUpstreams and its own view of the site. The scenario is an upstream that
+// comes back cold while all boxes have more requests for it than it can handle.
 #include "include/health/ColdUpstreams.h"
 #include "include/placement/ColdShare.h"
 
@@ -15,11 +15,11 @@
 namespace {
 
 const Incarnation kUpstream{"i-cold", 1};
-// The operators' figures of the first site that has them.
+// The settings of the operators of the first site that uses this limit.
 constexpr ColdLimit kLimit{8.9, 1.5, 5};
 constexpr double kMaxPerSecond = 8.9 * 1.5 + 5;
 constexpr Millis kStep = 10;
-constexpr Millis kMaxDelay = 300;  // Between the choice and the arrival.
+constexpr Millis kMaxDelay = 300;  // Between placement and arrival.
 
 struct Box {
     std::string address;
@@ -48,7 +48,7 @@
     size_t size() const { return m_boxes.size(); }
     Box& box(size_t i) { return *m_boxes.at(i); }
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
-    // The box starts anew and discoveredShare of so many of the others.
+    // Restarts the box, which then discovers each other box with probability `discoveredShare`.
     void restart(size_t i, double discoveredShare) {
         const std::string address = box(i).address;
         m_boxes.at(i) = std::make_unique<Box>();
@@ -66,7 +66,7 @@
         box.share.setBoxes(box.address, std::move(others), m_now);
     }
 
-    // Each box has a request for the upstream in each step, which stays cold.
+    // In each step, every box has a request for the upstream, which stays cold.
     SendRate runFor(Millis time) {
         std::vector<Millis> arrivals;
         const MonoTime end = m_now + time;
@@ -112,8 +112,8 @@
 
 }  // namespace
 
-// Guards against a cold upstream that falls over under the requests of all boxes together.
-TEST_CASE("All boxes together stay below what a cold upstream is allowed, and use what it bears") {
+// Guards against a cold upstream that crashes under the requests of all boxes together.
+TEST_CASE("All boxes together stay below a cold upstream's limit and use at least half its rate") {
     const size_t boxes = GENERATE(1, 2, 6, 73, 295, 340);
     const uint64_t seed = GENERATE(1, 2, 3);
     Site site(boxes, seed);
@@ -124,7 +124,8 @@
     CHECK(seen.perSecond > kLimit.perSecond / 2);
 }
 
-TEST_CASE("Boxes that start anew, know few others or are cut off do not add to it") {
+TEST_CASE(
+    "Restarted boxes, partial views and lost links do not exceed the limit of a cold upstream") {
     const size_t boxes = GENERATE(6, 73, 295, 340);
     const uint64_t seed = GENERATE(1, 2, 3, 4, 5);
     Site site(boxes, seed);
@@ -145,7 +146,7 @@
     CHECK(static_cast<double>(seen.mostInASecond) <= kMaxPerSecond);
 }
 
-TEST_CASE("A box that has just started or is linked to none sends a cold upstream nothing") {
+TEST_CASE("A box that has just started or has no link sends no requests to a cold upstream") {
     ColdShare share;
     CHECK_FALSE(share.maySend("a", {0}));
     share.setBoxes("self", {}, {0});
@@ -157,7 +158,7 @@
     CHECK(share.maySend("a", {5000}));
 }
 
-TEST_CASE("A rate that leaves no margin is planned at half of what is allowed") {
+TEST_CASE("A rate without a margin is planned at half of the limit") {
     ColdShare share;
     share.setBoxes("self", {}, {0});
     CHECK(share.spacing({10, 1.5, 5}) == 100);
--- a/tests/Fleet.cpp
+++ b/tests/Fleet.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr Millis kFrameDelay = 2;                // Between two boxes.
-constexpr Millis kRequestDelay = 2;              // To an upstream, and back.
-constexpr Millis kLinkDelay = 300;               // From a box's start to its links.
-constexpr size_t kMaxDialed = 16;                // As the gateway's.
-constexpr int64_t kBudgetBytesPerSecond = 4000;  // As the gateway's: bytes a second.
-constexpr double kPopularitySkew = 0.3;          // Of the prompts' popularity: 1 / rank ^ skew.
+constexpr Millis kRequestDelay = 2;              // To an upstream and back, each.
+constexpr Millis kLinkDelay = 300;               // From a box's start until its links are up.
+constexpr size_t kMaxDialed = 16;                // As in the gateway.
+constexpr int64_t kBudgetBytesPerSecond = 4000;  // As in the gateway.
+constexpr double kPopularitySkew = 0.3;          // A prompt's popularity is 1 / rank ^ skew.
 constexpr double kLimitMultiple = 2;             // The operators' limit on an upstream's load.
 constexpr double kLimitMargin = 3;
 
@@ -44,12 +44,12 @@
     size_t box = 0;
     uint64_t generation = 0;  // Of the box.
     size_t server = 0;
-    std::vector<std::string> parts;  // Of its prompt, those that others share.
+    std::vector<std::string> parts;  // The shared parts of its prompt.
     Millis firstAnswer = 0;
     Millis time = 0;
     bool ended = false;
-    uint64_t number = 0;   // In the order of arrival.
-    uint64_t attempt = 0;  // As the box counts it.
+    uint64_t number = 0;   // In order of arrival.
+    uint64_t attempt = 0;  // The id that the box gave the attempt.
 };
 
 struct Fleet::Server {
@@ -150,7 +150,7 @@
     if (kind == 0 && uniform() < m_hotShare) {
         return "hot";
     }
-    // The inverse of the sum over ranks of 1 / rank ^ skew, as an integral.
+    // Inverse of the cumulative sum over ranks of 1 / rank ^ skew, approximated by an integral.
     const double rank =
         std::pow(uniform(), 1 / (1 - kPopularitySkew)) * static_cast<double>(traffic.prompts);
     return std::to_string(kind) + "-" + std::to_string(static_cast<size_t>(rank));
@@ -250,7 +250,7 @@
             other->records.forgetPeer(BoxAddress(i));
         }
     }
-    // Upstreams drop what a connection that ended had asked for.
+    // Upstreams drop the queued requests of a closed connection.
     for (size_t index = 0; index < m_servers.size(); ++index) {
         auto& waiting = m_servers[index]->waiting;
         const size_t dropped = std::erase_if(waiting, [&](const std::shared_ptr<Work>& work) {
--- a/tests/Fleet.h
+++ b/tests/Fleet.h
@@ -1,7 +1,7 @@
-// A site in miniature for replays: many boxes, each with the gateway's own records, placement and
-// exchange of loads, before upstreams that work, queue and report their load. Virtual time, one
-// seed, no socket: the same run every time. The boxes learn of each other's requests by nothing but
-// the frames of LoadExchange.
+// Simulates a site for replays: many boxes, each with the gateway's own records, placement and load
+// exchange, in front of upstreams that process requests, queue them and report their load. The
+// simulation uses virtual time, one seed and no sockets, so every run is identical. The boxes learn
+// of each other's requests only through the frames of LoadExchange.
 #pragma once
 
 #include "include/gateway/LoadExchange.h"
@@ -18,12 +18,12 @@
 
 namespace onyx {
 
-// One kind of request: how often its prompts come and how long they work.
+// One kind of request: its rate, its prompts and its duration.
 struct FleetTraffic {
-    double perSecond = 0;
-    size_t prompts = 0;      // Different shared parts; the first are asked for most.
-    Millis firstAnswer = 0;  // From the start of the work to the head of the answer.
-    Millis work = 0;         // Mean time that a request holds its upstream.
+    double perSecond = 0;    // Requests of this kind.
+    size_t prompts = 0;      // Number of shared parts; the first ones are the most popular.
+    Millis firstAnswer = 0;  // From the start of processing to the head of the answer.
+    Millis work = 0;         // Mean time from the head of the answer to its end.
 };
 
 struct FleetSize {
@@ -32,13 +32,13 @@
     int slots = 0;
 };
 
-// What was seen in a stretch of time.
+// Counts over the time of one runFor() call.
 struct FleetStats {
     size_t arrivals = 0;
-    size_t overLimit = 0;    // At an upstream that held more than twice the mean + 3.
-    size_t preferred = 0;    // At the first choice of their prompt.
-    size_t copies = 0;       // At an upstream that had not seen their prompt before.
-    uint64_t bytesSent = 0;  // Of all boxes' frames.
+    size_t overLimit = 0;    // At an upstream that held more than twice the mean + 3 requests.
+    size_t preferred = 0;    // Placed on the first choice of their prompt.
+    size_t copies = 0;       // Placed on an upstream that had not received their prompt before.
+    uint64_t bytesSent = 0;  // All boxes' frames.
 
     double preferredShare() const {
         return arrivals == 0 ? 0 : static_cast<double>(preferred) / static_cast<double>(arrivals);
@@ -54,15 +54,15 @@
     Fleet(FleetSize size, std::vector<FleetTraffic> traffic, uint64_t seed);
     ~Fleet();
 
-    // Plays for `time` and tells what was seen in it.
+    // Simulates `time` milliseconds and returns the counts of that time.
     FleetStats runFor(Millis time);
-    // All traffic comes `factor` times as often from now on.
+    // Multiplies the rate of all traffic by `factor` from now on.
     void setRateFactor(double factor) { m_rateFactor = factor; }
-    // A share of the first kind of request asks for one prompt from now on.
+    // From now on, a `share` of the requests of the first kind asks for one and the same prompt.
     void setHotShare(double share) { m_hotShare = share; }
-    // No box sends to a third of the upstreams from now on: their zone is evacuated.
+    // Evacuates the zone of a third of the upstreams: no box sends to them from now on.
     void evacuateThird() { m_evacuations.apply({true, 1, {"y"}, {}}, false, "test", m_now); }
-    // The first `share` of the boxes start anew: their requests end, they know nothing.
+    // Restarts the first `share` of the boxes: their requests end and their state is lost.
     void restart(double share);
 
 private:
@@ -94,10 +94,10 @@
     FleetSize m_size;
     std::vector<FleetTraffic> m_traffic;
     std::mt19937_64 m_random;
-    asio::io_context m_io{1};  // Never run: the records want one for connections.
+    asio::io_context m_io{1};  // Never run; the records need one for connections.
     GatewaySettings m_settings;
     Metrics m_metrics;
-    EvacuationList m_evacuations{m_metrics};  // None.
+    EvacuationList m_evacuations{m_metrics};  // Empty until evacuateThird().
     ServiceSpec m_spec;
     ServiceId m_service{"models"};
     UpstreamChanges m_listed;
@@ -109,13 +109,13 @@
     MonoTime m_now{1000};
     uint64_t m_order = 0;
     double m_nextArrival = 1000;  // Virtual milliseconds.
-    double m_perSecond = 0;       // Of all traffic, at the ordinary rate.
+    double m_perSecond = 0;       // All traffic, at a rate factor of 1.
     double m_rateFactor = 1;
     double m_hotShare = 0;
-    size_t m_totalHeld = 0;  // By all upstreams.
+    size_t m_totalHeld = 0;  // Requests held by all upstreams.
     uint64_t m_requestCount = 0;
-    std::map<uint64_t, std::shared_ptr<Work>> m_running;  // At work, not waiting; by number.
-    std::set<std::pair<std::string, size_t>> m_copies;    // Prompts and who has seen them.
+    std::map<uint64_t, std::shared_ptr<Work>> m_running;  // In process, not queued; by number.
+    std::set<std::pair<std::string, size_t>> m_copies;    // Prompts and their upstreams so far.
     FleetStats m_stats;
 };
 
