--- a/tests/ColdShareTest.cpp
+++ b/tests/ColdShareTest.cpp
@@ -92,17 +92,17 @@
 
     static SendRate measure(std::vector<Millis> arrivals, Millis time) {
         std::sort(arrivals.begin(), arrivals.end());
-        SendRate seen;
+        SendRate rate;
         auto first = arrivals.begin();
         for (auto last = arrivals.begin(); last != arrivals.end(); ++last) {
             while (*last - *first >= 1000) {
                 ++first;
             }
-            seen.mostInASecond =
-                std::max(seen.mostInASecond, static_cast<size_t>(last - first) + 1);
+            rate.mostInASecond =
+                std::max(rate.mostInASecond, static_cast<size_t>(last - first) + 1);
         }
-        seen.perSecond = 1000.0 * static_cast<double>(arrivals.size()) / static_cast<double>(time);
-        return seen;
+        rate.perSecond = 1000.0 * static_cast<double>(arrivals.size()) / static_cast<double>(time);
+        return rate;
     }
 
     std::mt19937_64 m_random;
@@ -117,11 +117,11 @@
     const size_t boxes = GENERATE(1, 2, 6, 73, 295, 340);
     const uint64_t seed = GENERATE(1, 2, 3);
     Site site(boxes, seed);
-    const SendRate seen = site.runFor(10000);
-    INFO("boxes " << boxes << " seed " << seed << ": " << seen.mostInASecond << " in a second, "
-                  << seen.perSecond << " a second");
-    CHECK(static_cast<double>(seen.mostInASecond) <= kMaxPerSecond);
-    CHECK(seen.perSecond > kLimit.perSecond / 2);
+    const SendRate rate = site.runFor(10000);
+    INFO("boxes " << boxes << " seed " << seed << ": " << rate.mostInASecond << " in a second, "
+                  << rate.perSecond << " a second");
+    CHECK(static_cast<double>(rate.mostInASecond) <= kMaxPerSecond);
+    CHECK(rate.perSecond > kLimit.perSecond / 2);
 }
 
 TEST_CASE(
@@ -140,10 +140,10 @@
             site.discoverBoxes(site.box(i), 0.8);
         }
     }
-    const SendRate seen = site.runFor(10000);
-    INFO("boxes " << boxes << " seed " << seed << ": " << seen.mostInASecond << " in a second, "
-                  << seen.perSecond << " a second");
-    CHECK(static_cast<double>(seen.mostInASecond) <= kMaxPerSecond);
+    const SendRate rate = site.runFor(10000);
+    INFO("boxes " << boxes << " seed " << seed << ": " << rate.mostInASecond << " in a second, "
+                  << rate.perSecond << " a second");
+    CHECK(static_cast<double>(rate.mostInASecond) <= kMaxPerSecond);
 }
 
 TEST_CASE("A box that has just started or has no link sends no requests to a cold upstream") {
