--- a/include/admission/RetryAllowance.h
+++ b/include/admission/RetryAllowance.h
@@ -19,7 +19,7 @@
 struct RetryAllowanceSettings {
     // The part of the budget that is planned with. The rest is for requests whose first attempt
     // leaves the window before their retry does, and for boxes that are not known yet.
-    static constexpr double kPlannedFraction = 0.75;
+    static constexpr double kPlannedPart = 0.75;
     // The slack is divided by this many boxes at least, however few are known: a box that has just
     // started knows none.
     static constexpr size_t kDefaultMinBoxes = 8;
@@ -33,7 +33,7 @@
     // Thread safety: any thread.
     static RetryAllowanceSettings Planned(Millis window, double share, double slack,
                                           size_t minBoxes) {
-        return {window, kPlannedFraction * share, kPlannedFraction * slack, minBoxes};
+        return {window, kPlannedPart * share, kPlannedPart * slack, minBoxes};
     }
 };
 
