--- a/include/freshness/KnowledgeSpread.h
+++ b/include/freshness/RefreshPlanner.h
@@ -16,7 +16,7 @@
 namespace onyx {
 
 // All times in milliseconds.
-struct KnowledgeSpreadSettings {
+struct RefreshPlannerSettings {
     WatchDelegationSettings delegation;
     StoreDutySettings duty;
     Millis followPeriod = 333;  // The watcher is asked this often.
@@ -26,7 +26,7 @@
 };
 
 // What a step depends on.
-struct KnowledgeSurroundings {
+struct RefreshInputs {
     std::span<const std::string> zoneOrder;  // As WatchDelegation::choose() takes it.
     std::string_view self;
     std::span<const std::string> linked;  // Boxes that can be asked, in ascending order.
@@ -38,32 +38,32 @@
 };
 
 // What is to be done now.
-struct KnowledgeStep {
+struct RefreshPlan {
     StoreDutyDecision duty;
     std::string watcher;     // The box that is asked in place of the store; empty: none.
     std::string keepLinked;  // A box to keep a link to; empty: none.
-    bool asksWatcher = false;
-    bool asksOthers = false;  // As many as PeerKnowledge names.
+    bool queriesWatcher = false;
+    bool queriesPeers = false;  // As many as PeerKnowledge names.
 };
 
 // While other boxes are asked for younger knowledge, they are asked once in this time, in
 // milliseconds. A fraction of what keys may be used for after the store's last answer.
-inline constexpr Millis kAskPeriod = 400;
+inline constexpr Millis kPeerQueryPeriodMs = 400;
 // The same while a box knows nothing: it refuses callers meanwhile.
-inline constexpr Millis kFirstAskPeriod = 100;
+inline constexpr Millis kFirstPeerQueryPeriodMs = 100;
 
 // Not thread safe: one task owns it.
-class KnowledgeSpread {
+class RefreshPlanner {
 public:
     // `seed`: of random waits. Preconditions: none.
-    KnowledgeSpread(const KnowledgeSpreadSettings& settings, MonoTime started, uint64_t seed)
+    RefreshPlanner(const RefreshPlannerSettings& settings, MonoTime started, uint64_t seed)
         : m_settings(settings),
-          m_delegation(settings.delegation),
-          m_duty(settings.duty, started, seed),
+          m_watcherSelector(settings.delegation),
+          m_storeCallPolicy(settings.duty, started, seed),
           m_started(started) {}
 
     // Called every tenth of a second or so. Preconditions: times do not fall.
-    KnowledgeStep step(const KnowledgeSurroundings& around, MonoTime now);
+    RefreshPlan step(const RefreshInputs& around, MonoTime now);
 
     // Whether the store may be called right now, by a box whose knowledge is `age` old.
     // Preconditions: as above.
@@ -74,7 +74,7 @@
                  MonoTime now);
 
     // Another box asks this one in place of the store. Preconditions: as above.
-    void followed(MonoTime now) { m_followedAt = now; }
+    void noteFollowerQuery(MonoTime now) { m_followedAt = now; }
 
     // Whether others follow this box, or are about to: what it knows is to be young.
     // Preconditions: as above.
@@ -82,20 +82,20 @@
 
     // Whether this box relies on others in ordinary times. Preconditions: none.
     bool hasOthers() const {
-        return !m_facts.isWatcher && !m_facts.inSmallZone && m_facts.links > 0;
+        return !m_callInputs.isWatcher && !m_callInputs.inSmallZone && m_callInputs.links > 0;
     }
 
 private:
-    void noteFacts(const KnowledgeSurroundings& around, MonoTime now);
-    bool wantsOthers(const KnowledgeSurroundings& around) const;
+    void updateCallInputs(const RefreshInputs& around, MonoTime now);
+    bool shouldQueryPeers(const RefreshInputs& around) const;
 
-    KnowledgeSpreadSettings m_settings;
-    WatchDelegation m_delegation;
-    StoreDuty m_duty;
+    RefreshPlannerSettings m_settings;
+    WatchDelegation m_watcherSelector;
+    StoreDuty m_storeCallPolicy;
     MonoTime m_started;
-    StoreDutyFacts m_facts;  // Of the last step.
-    MonoTime m_askedWatcher;
-    MonoTime m_askedOthers;
+    StoreDutyFacts m_callInputs;  // Of the last step.
+    MonoTime m_watcherQueriedAt;
+    MonoTime m_peersQueriedAt;
     std::optional<MonoTime> m_followedAt;  // When a follower asked last.
 };
 
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -1,14 +1,14 @@
 // What the boxes of a site tell each other of what the store has: how old it is, what changed since
 // a revision, and on request all of it; evacuations with every answer. Carries out what
-// KnowledgeSpread decides: whom this box asks, and whether it calls the store itself.
+// RefreshPlanner decides: whom this box asks, and whether it calls the store itself.
 //
-// Owns the questions under way. Relies on PeerMesh for the messages, on KnowledgeSpread and
+// Owns the questions under way. Relies on PeerMesh for the messages, on RefreshPlanner and
 // PeerKnowledge for the rules. What it learns goes to the configuration and the upstreams.
 #pragma once
 
 #include "include/dialect/Dialect.h"
-#include "include/freshness/KnowledgeSpread.h"
 #include "include/freshness/PeerKnowledge.h"
+#include "include/freshness/RefreshPlanner.h"
 #include "include/gateway/PeerMesh.h"
 #include "include/gateway/StoreController.h"
 
@@ -97,7 +97,7 @@
     StoreController& m_store;
     PeerMesh& m_mesh;
     PeerKnowledge m_knowledge;
-    KnowledgeSpread m_spread;
+    RefreshPlanner m_spread;
     StoreDutyDecision m_duty;  // Of the last step.
     std::string m_watcher;     // The box that is asked in place of the store; empty: none.
     CopyRead m_copyRead;
--- /dev/null
+++ b/src/freshness/RefreshPlanner.cpp
@@ -0,0 +1,75 @@
+#include "include/freshness/RefreshPlanner.h"
+
+#include <algorithm>
+
+namespace onyx {
+
+namespace {
+
+// In milliseconds. A follower that did not ask for this long is gone: some five of its periods.
+constexpr Millis kFollowerTimeoutMs = 3000;
+
+}  // namespace
+
+RefreshPlan RefreshPlanner::step(const RefreshInputs& around, MonoTime now) {
+    const auto linked = [&](const std::string& address) {
+        return std::binary_search(around.linked.begin(), around.linked.end(), address);
+    };
+    RefreshPlan step;
+    step.watcher = m_watcherSelector.choose(around.zoneOrder, around.self, linked, now);
+    step.keepLinked = m_watcherSelector.preferred(around.zoneOrder, around.self);
+    updateCallInputs(around, now);
+    step.duty = m_storeCallPolicy.decide(m_callInputs, now);
+    if (!step.watcher.empty() && now - m_watcherQueriedAt >= m_settings.followPeriod) {
+        m_watcherQueriedAt = now;
+        step.queriesWatcher = true;
+    }
+    const Millis period = around.age ? kPeerQueryPeriodMs : kFirstPeerQueryPeriodMs;
+    if (shouldQueryPeers(around) && now - m_peersQueriedAt >= period) {
+        m_peersQueriedAt = now;
+        step.queriesPeers = true;
+    }
+    return step;
+}
+
+void RefreshPlanner::updateCallInputs(const RefreshInputs& around, MonoTime now) {
+    const bool discovered = now - m_started >= m_settings.discoveryTime;
+    const bool fewBoxes = around.zoneOrder.size() < m_settings.delegation.minBoxes;
+    m_callInputs.isWatcher = m_watcherSelector.isWatcher();
+    m_callInputs.discovered = discovered;
+    m_callInputs.inSmallZone = discovered && fewBoxes;
+    m_callInputs.isSeed = around.isSeed;
+    m_callInputs.idle = around.idle;
+    m_callInputs.rank = m_watcherSelector.rank();
+    m_callInputs.links = around.linked.size();
+    m_callInputs.boxes = around.boxes;
+    m_callInputs.age = around.age;
+}
+
+// Where every box watches, others are asked once the store does not answer; in large zones already
+// when knowledge is older than a watcher lets it get, by the watcher itself too.
+bool RefreshPlanner::shouldQueryPeers(const RefreshInputs& around) const {
+    if (m_callInputs.inSmallZone) {
+        return around.overdue;
+    }
+    return around.overdue || !around.age || *around.age > m_settings.duty.askAge;
+}
+
+bool RefreshPlanner::mayCall(std::optional<Millis> age, MonoTime now) {
+    m_callInputs.age = age;
+    return m_storeCallPolicy.decide(m_callInputs, now).calls;
+}
+
+void RefreshPlanner::replied(const std::string& from, std::optional<Millis> theirs,
+                             std::optional<Millis> own, MonoTime now) {
+    m_storeCallPolicy.noteAnswer(from, theirs, now);
+    m_watcherSelector.replied(from, theirs, own, now);
+}
+
+bool RefreshPlanner::watchesForOthers(MonoTime now) const {
+    const bool isFollowed = m_followedAt && now - *m_followedAt <= kFollowerTimeoutMs;
+    return m_callInputs.isWatcher || isFollowed ||
+           (m_callInputs.isSeed && !m_callInputs.discovered);
+}
+
+}  // namespace onyx
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -17,8 +17,8 @@
 // has just started does not know of them yet.
 constexpr int kSilentReplies = 4;
 
-KnowledgeSpreadSettings SpreadSettings(const GatewaySettings& settings) {
-    KnowledgeSpreadSettings spread;
+RefreshPlannerSettings SpreadSettings(const GatewaySettings& settings) {
+    RefreshPlannerSettings spread;
     spread.delegation = settings.delegation;
     spread.duty = settings.duty;
     spread.followPeriod = settings.pacing.followPeriod;
@@ -48,20 +48,20 @@
 void PeerSync::step(MonoTime now) {
     const std::vector<std::string> zone = m_mesh.zoneOrder();
     const std::vector<std::string> linked = m_mesh.linked();
-    KnowledgeSurroundings around{zone, m_mesh.address(), linked};
+    RefreshInputs around{zone, m_mesh.address(), linked};
     around.boxes = m_mesh.boxesKnown();
     around.isSeed = isSeed();
     around.idle = isIdle();
     around.age = ages(now).older();
     around.overdue = isOverdue(now);
-    const KnowledgeStep step = m_spread.step(around, now);
+    const RefreshPlan step = m_spread.step(around, now);
     m_watcher = step.watcher;
     m_mesh.keepLinked(step.keepLinked);
     noteDuty(step.duty, now);
-    if (step.asksWatcher) {
+    if (step.queriesWatcher) {
         askWatcher(now);
     }
-    if (step.asksOthers) {
+    if (step.queriesPeers) {
         askOthers(now);
     }
 }
@@ -145,7 +145,7 @@
 void PeerSync::onAsk(const std::string& from, const wire::KnowledgeAskT& ask) {
     const MonoTime now = ReadClocks().mono;
     if (ask.follows) {
-        m_spread.followed(now);
+        m_spread.noteFollowerQuery(now);
     }
     wire::KnowledgeReplyT reply;
     reply.round = ask.round;
--- a/tests/KnowledgeSite.cpp
+++ b/tests/KnowledgeSite.cpp
@@ -21,7 +21,7 @@
     size_t index = 0;
     uint64_t life = 0;
     bool runs = false;
-    std::unique_ptr<KnowledgeSpread> spread;
+    std::unique_ptr<RefreshPlanner> spread;
     PeerKnowledge questions;
     StoreDutyDecision duty;
     std::optional<MonoTime> asOf[2];     // Of the configuration and of the list of upstreams.
@@ -86,7 +86,7 @@
     box.index = i;
     box.life = life;
     box.runs = true;
-    box.spread = std::make_unique<KnowledgeSpread>(m_settings, m_now, m_random());
+    box.spread = std::make_unique<RefreshPlanner>(m_settings, m_now, m_random());
     m_copies += 2;
     at(between(0, kStepPeriod), [this, i] { step(i); });
     for (const int kind : {0, 1}) {
@@ -130,17 +130,17 @@
     for (const int kind : {0, 1}) {
         ages[kind] = box.asOf[kind] ? std::optional(m_now - *box.asOf[kind]) : std::nullopt;
     }
-    KnowledgeSurroundings around{zone, m_names[i], linked};
+    RefreshInputs around{zone, m_names[i], linked};
     around.boxes = m_size.boxes;
     around.isSeed = i < kSeeds;
     around.age = age;
     around.overdue = IsOverdue(m_pacing, {ages[0], ages[1]});
-    const KnowledgeStep step = box.spread->step(around, m_now);
+    const RefreshPlan step = box.spread->step(around, m_now);
     box.duty = step.duty;
-    if (step.asksWatcher) {
+    if (step.queriesWatcher) {
         ask(i, m_byName[step.watcher], true);
     }
-    if (step.asksOthers) {
+    if (step.queriesPeers) {
         for (const std::string& name : box.questions.nextAsked(linked)) {
             ask(i, m_byName[name], false);
         }
@@ -168,7 +168,7 @@
             return;
         }
         if (follows) {
-            asked.spread->followed(m_now);
+            asked.spread->noteFollowerQuery(m_now);
         }
         const auto age = ageOf(asked);
         at(kWay, [this, from, to, sent, age, life] {
--- a/tests/KnowledgeSite.h
+++ b/tests/KnowledgeSite.h
@@ -1,11 +1,11 @@
 // A site in miniature for replays of who calls the store: many boxes in zones, each with the
-// gateway's own KnowledgeSpread and StorePacing, and a store that answers, refuses or is silent.
+// gateway's own RefreshPlanner and StorePacing, and a store that answers, refuses or is silent.
 // Virtual time, one seed, no socket: the same run every time. What a box knows is one number here,
 // the time as of which it knows everything; how changes travel is not replayed.
 #pragma once
 
-#include "include/freshness/KnowledgeSpread.h"
 #include "include/freshness/PeerKnowledge.h"
+#include "include/freshness/RefreshPlanner.h"
 #include "include/freshness/StorePacing.h"
 #include "include/membership/BoxDirectory.h"
 
@@ -80,7 +80,7 @@
 
     KnowledgeSiteSize m_size;
     std::mt19937_64 m_random;
-    KnowledgeSpreadSettings m_settings;
+    RefreshPlannerSettings m_settings;
     StorePacingSettings m_pacing;
     std::vector<std::string> m_names;
     std::map<std::string, size_t> m_byName;
--- a/tests/KnowledgeSpreadTest.cpp
+++ b/tests/RefreshPlannerTest.cpp
@@ -1,4 +1,4 @@
-#include "include/freshness/KnowledgeSpread.h"
+#include "include/freshness/RefreshPlanner.h"
 
 #include "tests/KnowledgeSite.h"
 
