--- a/include/freshness/PeerKnowledge.h
+++ b/include/freshness/PeerQueries.h
@@ -21,15 +21,15 @@
 namespace onyx {
 
 // Not thread safe: one task owns it.
-class PeerKnowledge {
+class PeerQueries {
 public:
     // Questions that still may be answered.
-    static constexpr size_t kMaxRounds = 64;
+    static constexpr size_t kMaxOpenQueries = 64;
     // Boxes that are asked in one round: enough to meet one that the store answers when a third of
     // them is cut off.
-    static constexpr size_t kMaxAsked = 8;
+    static constexpr size_t kPeersPerRound = 8;
     // A box that was asked for more than ages and has not answered for this long is given up on.
-    static constexpr Millis kFetchTimeout = 1000;
+    static constexpr Millis kFetchTimeoutMs = 1000;
 
     // Notes that a question is sent now and returns its number. Preconditions: times do not fall.
     uint64_t ask(MonoTime now);
@@ -40,7 +40,7 @@
 
     // The boxes to ask in the next round: all of a few, else some of them in turn.
     // Preconditions: none.
-    std::vector<std::string> nextAsked(const std::vector<std::string>& peers);
+    std::vector<std::string> nextPeers(const std::vector<std::string>& peers);
 
     // Begins to fetch from a box what it has newer: the number of that question, or nothing while
     // another fetch is under way. Preconditions: times do not fall.
@@ -52,9 +52,9 @@
 
 private:
     uint64_t m_round = 0;
-    std::map<uint64_t, MonoTime> m_asked;
-    size_t m_turn = 0;
-    std::optional<uint64_t> m_fetch;  // Its question, while one is under way.
+    std::map<uint64_t, MonoTime> m_sentAt;
+    size_t m_nextPeer = 0;
+    std::optional<uint64_t> m_fetchRound;  // Its question, while one is under way.
 };
 
 }  // namespace onyx
--- a/include/freshness/RefreshPlanner.h
+++ b/include/freshness/RefreshPlanner.h
@@ -43,7 +43,7 @@
     std::string watcher;     // The box that is asked in place of the store; empty: none.
     std::string keepLinked;  // A box to keep a link to; empty: none.
     bool queriesWatcher = false;
-    bool queriesPeers = false;  // As many as PeerKnowledge names.
+    bool queriesPeers = false;  // As many as PeerQueries names.
 };
 
 // While other boxes are asked for younger knowledge, they are asked once in this time, in
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -3,11 +3,11 @@
 // RefreshPlanner decides: whom this box asks, and whether it calls the store itself.
 //
 // Owns the questions under way. Relies on PeerMesh for the messages, on RefreshPlanner and
-// PeerKnowledge for the rules. What it learns goes to the configuration and the upstreams.
+// PeerQueries for the rules. What it learns goes to the configuration and the upstreams.
 #pragma once
 
 #include "include/dialect/Dialect.h"
-#include "include/freshness/PeerKnowledge.h"
+#include "include/freshness/PeerQueries.h"
 #include "include/freshness/RefreshPlanner.h"
 #include "include/gateway/PeerMesh.h"
 #include "include/gateway/StoreController.h"
@@ -96,7 +96,7 @@
     EvacuationList& m_evacuations;
     StoreController& m_store;
     PeerMesh& m_mesh;
-    PeerKnowledge m_knowledge;
+    PeerQueries m_knowledge;
     RefreshPlanner m_spread;
     StoreDutyDecision m_duty;  // Of the last step.
     std::string m_watcher;     // The box that is asked in place of the store; empty: none.
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -137,7 +137,7 @@
 
 void PeerSync::askOthers(MonoTime now) {
     const wire::KnowledgeAskT ask = questionOf(m_knowledge.ask(now));
-    for (const std::string& address : m_knowledge.nextAsked(m_mesh.linked())) {
+    for (const std::string& address : m_knowledge.nextPeers(m_mesh.linked())) {
         m_mesh.send(address, ask);
     }
 }
--- a/tests/FreshnessTest.cpp
+++ b/tests/FreshnessTest.cpp
@@ -1,5 +1,5 @@
 #include "include/freshness/KnowledgeAge.h"
-#include "include/freshness/PeerKnowledge.h"
+#include "include/freshness/PeerQueries.h"
 #include "include/freshness/StalenessPolicy.h"
 
 #include <catch2/catch.hpp>
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("A peer's answer counts from the question, less the age that it tells") {
-    PeerKnowledge peers;
+    PeerQueries peers;
     const uint64_t round = peers.ask({1000});
     CHECK(peers.answered(round, 300) == MonoTime{700});
     CHECK_FALSE(peers.answered(round, -1).has_value());
@@ -81,9 +81,9 @@
 }
 
 TEST_CASE("Questions that were never answered are forgotten") {
-    PeerKnowledge peers;
+    PeerQueries peers;
     const uint64_t first = peers.ask({1});
-    for (size_t i = 0; i < PeerKnowledge::kMaxRounds; ++i) {
+    for (size_t i = 0; i < PeerQueries::kMaxOpenQueries; ++i) {
         peers.ask({2});
     }
     CHECK_FALSE(peers.answered(first, 0).has_value());
@@ -92,7 +92,7 @@
 // Found in the logs of a site of 85 boxes: a box that had lost the store got the whole
 // configuration from all 32 boxes that it asked, over a line that carries it twice a second.
 TEST_CASE("What is newer is fetched from one box at a time") {
-    PeerKnowledge peers;
+    PeerQueries peers;
     const auto first = peers.startFetch({1000});
     REQUIRE(first.has_value());
     CHECK(peers.answered(*first, 100) == MonoTime{900});
@@ -103,27 +103,27 @@
     const auto second = peers.startFetch({1003});
     REQUIRE(second.has_value());
     // A box that does not answer is given up on.
-    const auto third = peers.startFetch({1003 + PeerKnowledge::kFetchTimeout});
+    const auto third = peers.startFetch({1003 + PeerQueries::kFetchTimeoutMs});
     REQUIRE(third.has_value());
     peers.endFetch(*second);
-    CHECK_FALSE(peers.startFetch({1004 + PeerKnowledge::kFetchTimeout}).has_value());
+    CHECK_FALSE(peers.startFetch({1004 + PeerQueries::kFetchTimeoutMs}).has_value());
 }
 
 TEST_CASE("Of many boxes some are asked in each round, and all in turn") {
-    PeerKnowledge knowledge;
+    PeerQueries knowledge;
     std::vector<std::string> peers;
     for (int i = 0; i < 30; ++i) {
         peers.push_back("box-" + std::to_string(i));
     }
     std::set<std::string> asked;
     for (int round = 0; round < 4; ++round) {
-        const auto some = knowledge.nextAsked(peers);
-        CHECK(some.size() == PeerKnowledge::kMaxAsked);
+        const auto some = knowledge.nextPeers(peers);
+        CHECK(some.size() == PeerQueries::kPeersPerRound);
         asked.insert(some.begin(), some.end());
     }
     CHECK(asked.size() == peers.size());
     peers.resize(3);
-    CHECK(knowledge.nextAsked(peers) == peers);
+    CHECK(knowledge.nextPeers(peers) == peers);
 }
 
 TEST_CASE("Boxes whose watches ended together do not stay equally old") {
--- a/tests/KnowledgeSite.cpp
+++ b/tests/KnowledgeSite.cpp
@@ -22,7 +22,7 @@
     uint64_t life = 0;
     bool runs = false;
     std::unique_ptr<RefreshPlanner> spread;
-    PeerKnowledge questions;
+    PeerQueries questions;
     StoreDutyDecision duty;
     std::optional<MonoTime> asOf[2];     // Of the configuration and of the list of upstreams.
     bool waiting[2] = {false, false};    // For a call to be allowed.
@@ -141,7 +141,7 @@
         ask(i, m_byName[step.watcher], true);
     }
     if (step.queriesPeers) {
-        for (const std::string& name : box.questions.nextAsked(linked)) {
+        for (const std::string& name : box.questions.nextPeers(linked)) {
             ask(i, m_byName[name], false);
         }
     }
--- a/tests/KnowledgeSite.h
+++ b/tests/KnowledgeSite.h
@@ -4,7 +4,7 @@
 // the time as of which it knows everything; how changes travel is not replayed.
 #pragma once
 
-#include "include/freshness/PeerKnowledge.h"
+#include "include/freshness/PeerQueries.h"
 #include "include/freshness/RefreshPlanner.h"
 #include "include/freshness/StorePacing.h"
 #include "include/membership/BoxDirectory.h"
