--- a/include/freshness/RefreshPlanner.h
+++ b/include/freshness/RefreshPlanner.h
@@ -1,12 +1,12 @@
 // Keeps what a box knows of the store young: decides, step by step, whom it asks and whether it
-// calls the store. Puts together WatchDelegation (which box of the zone watches) and StoreDuty
-// (whether this box calls itself).
+// calls the store. Puts together WatchDelegation (which box of the zone watches) and
+// StoreCallPolicy (whether this box calls itself).
 //
 // Owns the times of its questions. Relies on nothing but its inputs, so that whole sites of it can
 // be replayed; PeerSync carries out what it decides.
 #pragma once
 
-#include "include/freshness/StoreDuty.h"
+#include "include/freshness/StoreCallPolicy.h"
 #include "include/freshness/WatchDelegation.h"
 
 #include <optional>
@@ -18,7 +18,7 @@
 // All times in milliseconds.
 struct RefreshPlannerSettings {
     WatchDelegationSettings delegation;
-    StoreDutySettings duty;
+    StoreCallSettings duty;
     Millis followPeriod = 333;  // The watcher is asked this often.
     // A box knows its zone's boxes this long after its start. With two periods of dialing (1 s) 281
     // of 295 boxes that started together took their zone for a small one, and all watched.
@@ -31,7 +31,7 @@
     std::string_view self;
     std::span<const std::string> linked;  // Boxes that can be asked, in ascending order.
     size_t boxes = 1;                     // Of the site, this one included.
-    bool isSeed = false;                  // See StoreDutyFacts.
+    bool isSeed = false;                  // See StoreCallInputs.
     bool idle = false;                    // The same.
     std::optional<Millis> age;            // Of the older part of what this box knows.
     bool overdue = false;                 // The store has not answered this box in time.
@@ -39,7 +39,7 @@
 
 // What is to be done now.
 struct RefreshPlan {
-    StoreDutyDecision duty;
+    StoreCallDecision duty;
     std::string watcher;     // The box that is asked in place of the store; empty: none.
     std::string keepLinked;  // A box to keep a link to; empty: none.
     bool queriesWatcher = false;
@@ -91,9 +91,9 @@
 
     RefreshPlannerSettings m_settings;
     WatchDelegation m_watcherSelector;
-    StoreDuty m_storeCallPolicy;
+    StoreCallPolicy m_storeCallPolicy;
     MonoTime m_started;
-    StoreDutyFacts m_callInputs;  // Of the last step.
+    StoreCallInputs m_callInputs;  // Of the last step.
     MonoTime m_watcherQueriedAt;
     MonoTime m_peersQueriedAt;
     std::optional<MonoTime> m_followedAt;  // When a follower asked last.
--- a/include/freshness/StoreDuty.h
+++ b/include/freshness/StoreCallPolicy.h
@@ -22,9 +22,9 @@
 namespace onyx {
 
 // All times in milliseconds; FitFollowers() sets the first two.
-struct StoreDutySettings {
-    Millis askAge = 1000;  // Other boxes than the watcher are asked once knowledge is older,
-    Millis maxAge = 1300;  // and the store itself once it is older than this.
+struct StoreCallSettings {
+    Millis peerQueryAge = 1000;  // Other boxes than the watcher are asked once knowledge is older,
+    Millis maxAge = 1300;        // and the store itself once it is older than this.
     // A box that has just started waits for other boxes' answers between these times, by chance:
     // where some know, they answer within a few round trips. Not longer: after the loss of all
     // boxes each second without knowledge is a second of refusals.
@@ -36,20 +36,20 @@
     Millis idleFactor = 20;
     // A box without knowledge calls freely for this long after that wait, then in turn: if the
     // store answers, it does so within a few tries.
-    Millis firstCalls = 1000;
+    Millis freeCallPeriod = 1000;
     // While the store answers nobody, each box tries once in this times the boxes of the site. The
     // watchers try besides, so the store's return is found within their pause.
-    Millis turnPerBox = 80;
+    Millis turnIntervalPerBox = 80;
     // Boxes of a zone, next in order to its watchers, that try at once. The watchers may
     // be those that the store turns away.
     size_t deputies = 1;
     // So many boxes with nothing younger show that the store is in trouble and not only this box's
     // sources.
-    size_t minWitnesses = 4;
+    size_t minStaleReports = 4;
 };
 
 // What the decision depends on besides the answers of other boxes.
-struct StoreDutyFacts {
+struct StoreCallInputs {
     bool isWatcher = false;    // It watches the store for its zone.
     bool inSmallZone = false;  // It is known that every box of its zone watches.
     bool isSeed = false;       // Other boxes ask it first when they start.
@@ -62,7 +62,7 @@
 };
 
 // Why the store is called, or not.
-enum class StoreDutyReason : uint8_t {
+enum class StoreCallReason : uint8_t {
     kWatcher,     // Calls: it watches for its zone.
     kSmallZone,   // Calls: every box of the zone does.
     kYoung,       // Relies: its knowledge is young.
@@ -75,40 +75,41 @@
 };
 
 // The reason as it stands in the log. Thread safety: any thread.
-std::string_view StoreDutyReasonName(StoreDutyReason reason);
+std::string_view StoreCallReasonName(StoreCallReason reason);
 
-struct StoreDutyDecision {
+struct StoreCallDecision {
     bool calls = false;  // It may call the store now.
-    StoreDutyReason reason = StoreDutyReason::kStarting;
-    friend bool operator==(const StoreDutyDecision&, const StoreDutyDecision&) = default;
+    StoreCallReason reason = StoreCallReason::kStarting;
+    friend bool operator==(const StoreCallDecision&, const StoreCallDecision&) = default;
 };
 
 // Not thread safe: one task owns it.
-class StoreDuty {
+class StoreCallPolicy {
 public:
     // `seed`: of the random waits. Preconditions: times do not fall.
-    StoreDuty(const StoreDutySettings& settings, MonoTime started, uint64_t seed);
+    StoreCallPolicy(const StoreCallSettings& settings, MonoTime started, uint64_t seed);
 
     // Box `from` answered; `age`: of the older part of what it knows, nothing if it lacks some.
     // Preconditions: times do not fall.
-    void noteAnswer(const std::string& from, std::optional<Millis> age, MonoTime now);
+    void noteReply(const std::string& from, std::optional<Millis> age, MonoTime now);
 
     // Whether the store may be called now. Preconditions: as above.
-    StoreDutyDecision decide(const StoreDutyFacts& facts, MonoTime now);
+    StoreCallDecision decide(const StoreCallInputs& facts, MonoTime now);
 
 private:
-    bool hasWitnesses(const StoreDutyFacts& facts, MonoTime now);
-    StoreDutyDecision byTurn(const StoreDutyFacts& facts, MonoTime now);
-    Millis draw(Millis least, Millis most);
+    bool hasStaleReports(const StoreCallInputs& facts, MonoTime now);
+    StoreCallDecision decideByTurn(const StoreCallInputs& facts, MonoTime now);
+    Millis randomBetween(Millis least, Millis most);
 
-    StoreDutySettings m_settings;
+    StoreCallSettings m_settings;
     MonoTime m_started;
     std::minstd_rand m_random;
     Millis m_startWait = 0;
-    // Boxes whose knowledge was older than askAge, and when they said so. All boxes' knowledge gets
-    // old together: were only what is over maxAge old, no box would find a witness in time.
-    std::map<std::string, MonoTime> m_witnesses;
-    std::optional<MonoTime> m_turn;  // When this box may try next; nothing: no trouble.
+    // Boxes whose knowledge was older than peerQueryAge, and when they said so. All boxes'
+    // knowledge gets old together: were only what is over maxAge old, no box would find a witness
+    // in time.
+    std::map<std::string, MonoTime> m_staleReports;
+    std::optional<MonoTime> m_nextTurn;  // When this box may try next; nothing: no trouble.
 };
 
 }  // namespace onyx
--- a/include/freshness/StorePacing.h
+++ b/include/freshness/StorePacing.h
@@ -1,6 +1,6 @@
 // Decides how a box that calls the store paces its calls: how long a watch is held, how long it
 // pauses after changes and after a failure, and when the store's answers are overdue. Whether it
-// calls at all: StoreDuty.
+// calls at all: StoreCallPolicy.
 //
 // Inputs: what others rely on this box for, how many boxes there are, whether it can serve without
 // the store, the ages of what it knows; all times in milliseconds.
@@ -31,11 +31,11 @@
     Millis followedWait = 500;        // How long a watch is held by a box that others follow.
 };
 
-// The part of a bound on knowledge that a detour over other boxes uses up; see StoreDuty.
+// The part of a bound on knowledge that a detour over other boxes uses up; see StoreCallPolicy.
 struct FollowerBounds {
-    Millis askAge = 1000;    // A box whose knowledge is older asks more boxes,
-    Millis maxAge = 1300;    // and one whose knowledge is older than this calls the store.
-    bool leavesTime = true;  // Whether the bound leaves time for a detour over a watcher.
+    Millis peerQueryAge = 1000;  // A box whose knowledge is older asks more boxes,
+    Millis maxAge = 1300;        // and one whose knowledge is older than this calls the store.
+    bool leavesTime = true;      // Whether the bound leaves time for a detour over a watcher.
 };
 
 // Fits the times of watchers and followers into two bounds: a draining upstream gets no more work
--- a/include/freshness/WatchDelegation.h
+++ b/include/freshness/WatchDelegation.h
@@ -9,7 +9,7 @@
 // ones; the first few are its watchers. A box counts on nothing but the age that a watcher reports:
 // one that is gone, or that knows less than others do, is passed over for a while, and the next in
 // order takes its place. So two boxes that order differently cost a few calls, never a stale list.
-// Whether a box calls the store itself when nobody has young knowledge: StoreDuty.
+// Whether a box calls the store itself when nobody has young knowledge: StoreCallPolicy.
 #pragma once
 
 #include "include/base/Time.h"
--- a/include/gateway/GatewaySettings.h
+++ b/include/gateway/GatewaySettings.h
@@ -5,7 +5,7 @@
 #include "include/admission/Admission.h"
 #include "include/admission/RetryAllowance.h"
 #include "include/config/Settings.h"
-#include "include/freshness/StoreDuty.h"
+#include "include/freshness/StoreCallPolicy.h"
 #include "include/freshness/StorePacing.h"
 #include "include/freshness/WatchDelegation.h"
 #include "include/health/UpstreamHealth.h"
@@ -37,7 +37,7 @@
     StorePacingSettings pacing;
     Millis storeTimeout = 1500;  // For a store's answer, beyond the time that it may be held.
     WatchDelegationSettings delegation;
-    StoreDutySettings duty;
+    StoreCallSettings duty;
     // An evacuated zone gets no requests after this; 0: no zone is ever evacuated here.
     Millis evacuationBound = 0;
 
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -75,7 +75,7 @@
     };
 
     void step(MonoTime now);
-    void noteDuty(StoreDutyDecision duty, MonoTime now);
+    void noteDuty(StoreCallDecision duty, MonoTime now);
     void askWatcher(MonoTime now);
     void askOthers(MonoTime now);
     void catchUp(const std::string& from, const wire::KnowledgeReplyT& reply, bool askedChanges);
@@ -98,7 +98,7 @@
     PeerMesh& m_mesh;
     PeerQueries m_knowledge;
     RefreshPlanner m_spread;
-    StoreDutyDecision m_duty;  // Of the last step.
+    StoreCallDecision m_duty;  // Of the last step.
     std::string m_watcher;     // The box that is asked in place of the store; empty: none.
     CopyRead m_copyRead;
     int m_silentReplies = 0;  // Of the watcher in a row, that told nothing of evacuations.
--- a/include/store/StoreWatch.h
+++ b/include/store/StoreWatch.h
@@ -73,7 +73,7 @@
         // The store answers again (empty text), or does not, and why. Called on changes only.
         std::function<void(const std::string&)> onReachable;
         std::function<void(const StoreCall&)> onCall;  // A call has ended.
-        std::function<bool()> mayCall;  // Whether the store may be called now; see StoreDuty.
+        std::function<bool()> mayCall;  // Whether the store may be called now; see StoreCallPolicy.
         // The store's revision up to which this box knows the objects, whoever told it; 0: unknown.
         std::function<uint64_t()> knownRevision;
         std::function<Millis()> wait;               // How long the next watch is held.
--- a/src/freshness/RefreshPlanner.cpp
+++ b/src/freshness/RefreshPlanner.cpp
@@ -52,7 +52,7 @@
     if (m_callInputs.inSmallZone) {
         return around.overdue;
     }
-    return around.overdue || !around.age || *around.age > m_settings.duty.askAge;
+    return around.overdue || !around.age || *around.age > m_settings.duty.peerQueryAge;
 }
 
 bool RefreshPlanner::mayCall(std::optional<Millis> age, MonoTime now) {
@@ -62,7 +62,7 @@
 
 void RefreshPlanner::replied(const std::string& from, std::optional<Millis> theirs,
                              std::optional<Millis> own, MonoTime now) {
-    m_storeCallPolicy.noteAnswer(from, theirs, now);
+    m_storeCallPolicy.noteReply(from, theirs, now);
     m_watcherSelector.replied(from, theirs, own, now);
 }
 
--- /dev/null
+++ b/src/freshness/StoreCallPolicy.cpp
@@ -0,0 +1,116 @@
+#include "include/freshness/StoreCallPolicy.h"
+
+#include <algorithm>
+
+namespace onyx {
+
+namespace {
+
+// In milliseconds. What a box said counts for this long: some periods of asking.
+constexpr Millis kStaleReportLifetimeMs = 1500;
+// In milliseconds. A turn is this long: both lists can be asked for, a lost packet may be sent
+// again.
+constexpr Millis kTurnMs = 300;
+
+}  // namespace
+
+std::string_view StoreCallReasonName(StoreCallReason reason) {
+    switch (reason) {
+        case StoreCallReason::kWatcher:
+            return "watcher";
+        case StoreCallReason::kSmallZone:
+            return "small-zone";
+        case StoreCallReason::kYoung:
+            return "young";
+        case StoreCallReason::kStarting:
+            return "starting";
+        case StoreCallReason::kFirst:
+            return "first";
+        case StoreCallReason::kAlone:
+            return "alone";
+        case StoreCallReason::kDeputy:
+            return "deputy";
+        case StoreCallReason::kAwaitsTurn:
+            return "awaits-turn";
+        case StoreCallReason::kTurn:
+            return "turn";
+    }
+    return "invalid";
+}
+
+StoreCallPolicy::StoreCallPolicy(const StoreCallSettings& settings, MonoTime started, uint64_t seed)
+    : m_settings(settings),
+      m_started(started),
+      m_random(static_cast<std::minstd_rand::result_type>(seed)),
+      m_startWait(randomBetween(settings.minStartWait, settings.maxStartWait)) {}
+
+Millis StoreCallPolicy::randomBetween(Millis least, Millis most) {
+    return std::uniform_int_distribution<Millis>(least, std::max(least, most))(m_random);
+}
+
+void StoreCallPolicy::noteReply(const std::string& from, std::optional<Millis> age, MonoTime now) {
+    if (age && *age <= m_settings.peerQueryAge) {
+        m_staleReports.erase(from);
+    } else {
+        m_staleReports[from] = now;
+    }
+}
+
+bool StoreCallPolicy::hasStaleReports(const StoreCallInputs& facts, MonoTime now) {
+    std::erase_if(m_staleReports, [&](const auto& witness) {
+        return now - witness.second > kStaleReportLifetimeMs;
+    });
+    const size_t needed = std::min(m_settings.minStaleReports, std::max<size_t>(1, facts.links));
+    return m_staleReports.size() >= needed;
+}
+
+StoreCallDecision StoreCallPolicy::decide(const StoreCallInputs& facts, MonoTime now) {
+    if (facts.isWatcher) {
+        return {true, StoreCallReason::kWatcher};
+    }
+    if (facts.inSmallZone) {
+        return {true, StoreCallReason::kSmallZone};
+    }
+    // Until boxes know who watches, all that started together would wait for each other's knowledge
+    // to get old.
+    if (facts.isSeed && !facts.discovered) {
+        return {true, StoreCallReason::kFirst};
+    }
+    if (facts.links == 0 && facts.age) {
+        return {true, StoreCallReason::kAlone};
+    }
+    if (facts.age && *facts.age <= m_settings.maxAge) {
+        m_nextTurn.reset();
+        return {false, StoreCallReason::kYoung};
+    }
+    const Millis startWait = facts.idle ? m_startWait * m_settings.idleFactor : m_startWait;
+    if (!facts.age && now - m_started < startWait + m_settings.freeCallPeriod) {
+        const bool waits = now - m_started < startWait;
+        return {!waits, waits ? StoreCallReason::kStarting : StoreCallReason::kFirst};
+    }
+    if (!hasStaleReports(facts, now)) {
+        return {true, StoreCallReason::kAlone};
+    }
+    if (facts.rank < m_settings.deputies) {
+        return {true, StoreCallReason::kDeputy};
+    }
+    return decideByTurn(facts, now);
+}
+
+// The first turn comes at a random time of the whole round, so that boxes that lost the store
+// together do not try together; later ones a round apart, more or less.
+StoreCallDecision StoreCallPolicy::decideByTurn(const StoreCallInputs& facts, MonoTime now) {
+    const Millis round = m_settings.turnIntervalPerBox * static_cast<Millis>(facts.boxes);
+    if (!m_nextTurn) {
+        m_nextTurn = now + randomBetween(0, round);
+    }
+    if (now - *m_nextTurn >= kTurnMs) {
+        m_nextTurn = now + randomBetween(round / 2, round);
+    }
+    if (now < *m_nextTurn) {
+        return {false, StoreCallReason::kAwaitsTurn};
+    }
+    return {true, StoreCallReason::kTurn};
+}
+
+}  // namespace onyx
--- a/src/gateway/GatewaySettings.cpp
+++ b/src/gateway/GatewaySettings.cpp
@@ -67,7 +67,7 @@
     pacing.pausePerBox = reader.number("store.rest_ms_per_box", pacing.pausePerBox, 0, 1000);
     const Millis drainBound = reader.number("store.leaving_bound_ms", kDefaultDrainBound, 0, kDay);
     const FollowerBounds bounds = FitFollowers(drainBound, settings.admission.freshLimit, pacing);
-    settings.duty.askAge = delegation.freshAge = bounds.askAge;
+    settings.duty.peerQueryAge = delegation.freshAge = bounds.peerQueryAge;
     settings.duty.maxAge = bounds.maxAge;
     delegation.boxesPerWatcher =
         ReadCount(reader, "followers.boxes_per_watcher", delegation.boxesPerWatcher, 1);
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -80,13 +80,13 @@
     return seeds.empty() || std::any_of(seeds.begin(), seeds.end(), isSelf);
 }
 
-void PeerSync::noteDuty(StoreDutyDecision duty, MonoTime now) {
+void PeerSync::noteDuty(StoreCallDecision duty, MonoTime now) {
     if (duty == m_duty) {
         return;
     }
     const auto age = ages(now).older();
     logEvent(Event::kFollowing, {{"following", duty.calls ? "no" : "yes"},
-                                 {"why", std::string(StoreDutyReasonName(duty.reason))},
+                                 {"why", std::string(StoreCallReasonName(duty.reason))},
                                  {"watcher", m_watcher},
                                  {"knowledge_age_ms", age ? std::to_string(*age) : "none"}});
     m_duty = duty;
--- a/tests/KnowledgeSite.cpp
+++ b/tests/KnowledgeSite.cpp
@@ -23,7 +23,7 @@
     bool runs = false;
     std::unique_ptr<RefreshPlanner> spread;
     PeerQueries questions;
-    StoreDutyDecision duty;
+    StoreCallDecision duty;
     std::optional<MonoTime> asOf[2];     // Of the configuration and of the list of upstreams.
     bool waiting[2] = {false, false};    // For a call to be allowed.
     bool confirmed[2] = {false, false};  // Since it began to call.
@@ -34,7 +34,7 @@
     const FollowerBounds bounds = FitFollowers(size.drainBound, size.freshLimit, m_pacing);
     m_pacing.configurationWait = ConfigurationWait(size.freshLimit);
     m_settings.followPeriod = m_pacing.followPeriod;
-    m_settings.duty.askAge = m_settings.delegation.freshAge = bounds.askAge;
+    m_settings.duty.peerQueryAge = m_settings.delegation.freshAge = bounds.peerQueryAge;
     m_settings.duty.maxAge = bounds.maxAge;
     for (size_t i = 0; i < size.boxes; ++i) {
         m_names.push_back("10.0.0." + std::to_string(1000 + i) + ":1");
@@ -252,7 +252,7 @@
 std::vector<size_t> KnowledgeSite::watchers() const {
     std::vector<size_t> watchers;
     for (const auto& box : m_boxes) {
-        if (box->runs && box->duty.reason == StoreDutyReason::kWatcher) {
+        if (box->runs && box->duty.reason == StoreCallReason::kWatcher) {
             watchers.push_back(box->index);
         }
     }
--- a/tests/StoreDutyTest.cpp
+++ b/tests/StoreCallPolicyTest.cpp
@@ -1,4 +1,4 @@
-#include "include/freshness/StoreDuty.h"
+#include "include/freshness/StoreCallPolicy.h"
 
 #include <catch2/catch.hpp>
 
@@ -14,8 +14,8 @@
 constexpr size_t kBoxes = 295;
 
 // A box of a large zone, some places behind its watcher.
-StoreDutyFacts Ordinary(std::optional<Millis> age) {
-    StoreDutyFacts facts;
+StoreCallInputs Ordinary(std::optional<Millis> age) {
+    StoreCallInputs facts;
     facts.rank = 10;
     facts.links = 32;
     facts.boxes = kBoxes;
@@ -23,30 +23,30 @@
     return facts;
 }
 
-void AllSay(StoreDuty& duty, std::optional<Millis> age, MonoTime now) {
+void AllSay(StoreCallPolicy& duty, std::optional<Millis> age, MonoTime now) {
     for (int i = 0; i < 8; ++i) {
-        duty.noteAnswer("box-" + std::to_string(i), age, now);
+        duty.noteReply("box-" + std::to_string(i), age, now);
     }
 }
 
 }  // namespace
 
 TEST_CASE("A box whose knowledge is young calls the store only where it watches for others") {
-    StoreDuty duty(StoreDutySettings{}, kStart, 1);
-    StoreDutyFacts facts = Ordinary(kYoung);
-    CHECK(duty.decide(facts, kStart) == StoreDutyDecision{false, StoreDutyReason::kYoung});
+    StoreCallPolicy duty(StoreCallSettings{}, kStart, 1);
+    StoreCallInputs facts = Ordinary(kYoung);
+    CHECK(duty.decide(facts, kStart) == StoreCallDecision{false, StoreCallReason::kYoung});
     facts.inSmallZone = true;
-    CHECK(duty.decide(facts, kStart) == StoreDutyDecision{true, StoreDutyReason::kSmallZone});
+    CHECK(duty.decide(facts, kStart) == StoreCallDecision{true, StoreCallReason::kSmallZone});
     facts.isWatcher = true;
-    CHECK(duty.decide(facts, kStart) == StoreDutyDecision{true, StoreDutyReason::kWatcher});
+    CHECK(duty.decide(facts, kStart) == StoreCallDecision{true, StoreCallReason::kWatcher});
 }
 
 TEST_CASE("A box that just started waits for others' answers, a seed does not") {
-    const StoreDutySettings settings;
-    StoreDuty duty(settings, kStart, 1);
-    StoreDutyFacts facts = Ordinary(std::nullopt);
+    const StoreCallSettings settings;
+    StoreCallPolicy duty(settings, kStart, 1);
+    StoreCallInputs facts = Ordinary(std::nullopt);
     CHECK(duty.decide(facts, kStart + settings.minStartWait - 1).reason ==
-          StoreDutyReason::kStarting);
+          StoreCallReason::kStarting);
     // Where nobody could be served, it waits for longer.
     facts.idle = true;
     CHECK_FALSE(duty.decide(facts, kStart + settings.maxStartWait).calls);
@@ -55,11 +55,11 @@
     // Others that know nothing either, after the loss of all boxes, keep it from nothing.
     AllSay(duty, std::nullopt, kStart);
     CHECK(duty.decide(facts, kStart + settings.maxStartWait) ==
-          StoreDutyDecision{true, StoreDutyReason::kFirst});
+          StoreCallDecision{true, StoreCallReason::kFirst});
     // Where the store answers nobody it is tried in turn after a while.
-    const MonoTime later = kStart + settings.maxStartWait + settings.firstCalls;
+    const MonoTime later = kStart + settings.maxStartWait + settings.freeCallPeriod;
     AllSay(duty, std::nullopt, later);
-    CHECK(duty.decide(facts, later).reason == StoreDutyReason::kAwaitsTurn);
+    CHECK(duty.decide(facts, later).reason == StoreCallReason::kAwaitsTurn);
     facts.isSeed = true;
     CHECK(duty.decide(facts, kStart).calls);
     // Until all know who watches, the seeds do.
@@ -70,35 +70,35 @@
 }
 
 TEST_CASE("A box that nobody answers calls the store as soon as its knowledge is old") {
-    const StoreDutySettings settings;
-    StoreDuty duty(settings, kStart, 1);
+    const StoreCallSettings settings;
+    StoreCallPolicy duty(settings, kStart, 1);
     CHECK_FALSE(duty.decide(Ordinary(settings.maxAge), kStart).calls);
     CHECK(duty.decide(Ordinary(settings.maxAge + 1), kStart).calls);
-    StoreDutyFacts cutOff = Ordinary(kYoung);
+    StoreCallInputs cutOff = Ordinary(kYoung);
     cutOff.links = 0;
-    CHECK(duty.decide(cutOff, kStart) == StoreDutyDecision{true, StoreDutyReason::kAlone});
+    CHECK(duty.decide(cutOff, kStart) == StoreCallDecision{true, StoreCallReason::kAlone});
     // What was said long ago is no word on the store as it is now.
     AllSay(duty, kOld, kStart);
     CHECK_FALSE(duty.decide(Ordinary(kOld), kStart).calls);
     CHECK(duty.decide(Ordinary(kOld), kStart + 2000) ==
-          StoreDutyDecision{true, StoreDutyReason::kAlone});
+          StoreCallDecision{true, StoreCallReason::kAlone});
 }
 
 TEST_CASE("Boxes that know young things are no witnesses of trouble") {
-    StoreDuty duty(StoreDutySettings{}, kStart, 1);
+    StoreCallPolicy duty(StoreCallSettings{}, kStart, 1);
     AllSay(duty, kOld, kStart);
     AllSay(duty, kYoung, kStart);
-    CHECK(duty.decide(Ordinary(kOld), kStart).reason == StoreDutyReason::kAlone);
+    CHECK(duty.decide(Ordinary(kOld), kStart).reason == StoreCallReason::kAlone);
 }
 
 TEST_CASE("The next in order try at once where the watchers know nothing young") {
-    const StoreDutySettings settings;
+    const StoreCallSettings settings;
     for (size_t rank = 0; rank < 10; ++rank) {
-        StoreDuty duty(settings, kStart, 7);
+        StoreCallPolicy duty(settings, kStart, 7);
         AllSay(duty, kOld, kStart);
-        StoreDutyFacts facts = Ordinary(kOld);
+        StoreCallInputs facts = Ordinary(kOld);
         facts.rank = rank;
-        const bool deputy = duty.decide(facts, kStart).reason == StoreDutyReason::kDeputy;
+        const bool deputy = duty.decide(facts, kStart).reason == StoreCallReason::kDeputy;
         CHECK(deputy == (rank < settings.deputies));
     }
 }
@@ -112,7 +112,7 @@
     size_t tries = 0;
     size_t boxesThatTried = 0;
     for (uint64_t box = 0; box < kBoxes; ++box) {
-        StoreDuty duty(StoreDutySettings{}, kStart, box);
+        StoreCallPolicy duty(StoreCallSettings{}, kStart, box);
         bool tried = false;
         bool calling = false;
         for (Millis t = 0; t < kOutage; t += kStep) {
@@ -131,12 +131,12 @@
 }
 
 TEST_CASE("Trouble that is over is forgotten: the next one begins with a new turn") {
-    const StoreDutySettings settings;
-    StoreDuty duty(settings, kStart, 3);
+    const StoreCallSettings settings;
+    StoreCallPolicy duty(settings, kStart, 3);
     AllSay(duty, kOld, kStart);
-    CHECK(duty.decide(Ordinary(kOld), kStart).reason == StoreDutyReason::kAwaitsTurn);
-    CHECK(duty.decide(Ordinary(kYoung), kStart + 100).reason == StoreDutyReason::kYoung);
+    CHECK(duty.decide(Ordinary(kOld), kStart).reason == StoreCallReason::kAwaitsTurn);
+    CHECK(duty.decide(Ordinary(kYoung), kStart + 100).reason == StoreCallReason::kYoung);
     const MonoTime later = kStart + 100000;
     AllSay(duty, kOld, later);
-    CHECK(duty.decide(Ordinary(kOld), later).reason == StoreDutyReason::kAwaitsTurn);
+    CHECK(duty.decide(Ordinary(kOld), later).reason == StoreCallReason::kAwaitsTurn);
 }
--- a/tests/StorePacingTest.cpp
+++ b/tests/StorePacingTest.cpp
@@ -27,8 +27,8 @@
             const Millis bound = std::min(drainBound, freshLimit);
             CHECK(bounds.leavesTime);
             // In ordinary times a follower asks nobody else.
-            CHECK(settings.followedWait + settings.followPeriod < bounds.askAge);
-            CHECK(bounds.askAge < bounds.maxAge);
+            CHECK(settings.followedWait + settings.followPeriod < bounds.peerQueryAge);
+            CHECK(bounds.peerQueryAge < bounds.maxAge);
             CHECK(bounds.maxAge + kStepOfBox < bound);
         }
     }
