--- a/include/freshness/RefreshPlanner.h
+++ b/include/freshness/RefreshPlanner.h
@@ -1,5 +1,5 @@
 // Keeps what a box knows of the store young: decides, step by step, whom it asks and whether it
-// calls the store. Puts together WatchDelegation (which box of the zone watches) and
+// calls the store. Puts together WatcherSelector (which box of the zone watches) and
 // StoreCallPolicy (whether this box calls itself).
 //
 // Owns the times of its questions. Relies on nothing but its inputs, so that whole sites of it can
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "include/freshness/StoreCallPolicy.h"
-#include "include/freshness/WatchDelegation.h"
+#include "include/freshness/WatcherSelector.h"
 
 #include <optional>
 #include <span>
@@ -17,7 +17,7 @@
 
 // All times in milliseconds.
 struct RefreshPlannerSettings {
-    WatchDelegationSettings delegation;
+    WatcherSelectorSettings delegation;
     StoreCallSettings duty;
     Millis followPeriod = 333;  // The watcher is asked this often.
     // A box knows its zone's boxes this long after its start. With two periods of dialing (1 s) 281
@@ -27,7 +27,7 @@
 
 // What a step depends on.
 struct RefreshInputs {
-    std::span<const std::string> zoneOrder;  // As WatchDelegation::choose() takes it.
+    std::span<const std::string> zoneOrder;  // As WatcherSelector::choose() takes it.
     std::string_view self;
     std::span<const std::string> linked;  // Boxes that can be asked, in ascending order.
     size_t boxes = 1;                     // Of the site, this one included.
@@ -90,7 +90,7 @@
     bool shouldQueryPeers(const RefreshInputs& around) const;
 
     RefreshPlannerSettings m_settings;
-    WatchDelegation m_watcherSelector;
+    WatcherSelector m_watcherSelector;
     StoreCallPolicy m_storeCallPolicy;
     MonoTime m_started;
     StoreCallInputs m_callInputs;  // Of the last step.
--- a/include/freshness/WatchDelegation.h
+++ b/include/freshness/WatcherSelector.h
@@ -26,7 +26,7 @@
 namespace onyx {
 
 // All times in milliseconds.
-struct WatchDelegationSettings {
+struct WatcherSelectorSettings {
     // A watcher makes two to three calls a second whether anything changes or not, and answers a
     // question or two of each follower in that time; with 32 the ten watchers of a site of 295
     // boxes made a third of all calls of a quiet day. One that is gone costs its followers nothing
@@ -34,17 +34,17 @@
     size_t boxesPerWatcher = 128;
     // In a zone of fewer, every box watches: too few calls are saved for the detour.
     size_t minBoxes = 5;
-    Millis freshAge = 1000;  // A watcher that stays older than this while others are younger,
-    Millis alone = 10000;    // and one that is gone, is passed over for this long.
+    Millis maxFreshAge = 1000;    // A watcher that stays older than this while others are younger,
+    Millis passOverTime = 10000;  // and one that is gone, is passed over for this long.
     // A watcher to which no link comes about, or that is old, for this long: three periods of
     // dialing.
-    Millis linkTime = 1500;
+    Millis linkTimeout = 1500;
 };
 
 // Not thread safe: one task owns it.
-class WatchDelegation {
+class WatcherSelector {
 public:
-    explicit WatchDelegation(const WatchDelegationSettings& settings) : m_settings(settings) {}
+    explicit WatcherSelector(const WatcherSelectorSettings& settings) : m_settings(settings) {}
 
     // The box to ask, or empty if this one is to watch by itself or none can be asked. `zoneOrder`:
     // addresses of the zone's boxes in their common order, this one included. `linked`: whether a
@@ -71,19 +71,19 @@
 
 private:
     std::vector<std::string> watchersOf(std::span<const std::string> zoneOrder) const;
-    void noteLinks(std::span<const std::string> zoneOrder, std::string_view self,
-                   const std::function<bool(const std::string&)>& linked, MonoTime now);
-    void notePlace(std::span<const std::string> zoneOrder, std::string_view self);
-    bool isFresh(std::optional<Millis> age) const { return age && *age <= m_settings.freshAge; }
+    void updateLinks(std::span<const std::string> zoneOrder, std::string_view self,
+                     const std::function<bool(const std::string&)>& linked, MonoTime now);
+    void updateRole(std::span<const std::string> zoneOrder, std::string_view self);
+    bool isFresh(std::optional<Millis> age) const { return age && *age <= m_settings.maxFreshAge; }
 
-    WatchDelegationSettings m_settings;
+    WatcherSelectorSettings m_settings;
     std::string m_watcher;  // Empty: none.
     bool m_isWatcher = false;
     size_t m_rank = 0;
-    std::string m_wanted;    // The watcher that this box prefers, linked or not,
-    MonoTime m_wantedSince;  // and since when it is preferred and not linked.
+    std::string m_preferred;   // The watcher that this box prefers, linked or not,
+    MonoTime m_unlinkedSince;  // and since when it is preferred and not linked.
     std::optional<MonoTime>
-        m_oldSince;  // When the watcher's knowledge was last fresh, or ours not.
+        m_staleSince;  // When the watcher's knowledge was last fresh, or ours not.
     std::map<std::string, MonoTime> m_passedOver;  // Boxes passed over, and until when.
 };
 
--- a/include/gateway/GatewaySettings.h
+++ b/include/gateway/GatewaySettings.h
@@ -7,7 +7,7 @@
 #include "include/config/Settings.h"
 #include "include/freshness/StoreCallPolicy.h"
 #include "include/freshness/StorePacing.h"
-#include "include/freshness/WatchDelegation.h"
+#include "include/freshness/WatcherSelector.h"
 #include "include/health/UpstreamHealth.h"
 #include "include/lifecycle/Drain.h"
 #include "include/placement/ChooseUpstream.h"
@@ -36,7 +36,7 @@
     AdmissionRules admission;
     StorePacingSettings pacing;
     Millis storeTimeout = 1500;  // For a store's answer, beyond the time that it may be held.
-    WatchDelegationSettings delegation;
+    WatcherSelectorSettings delegation;
     StoreCallSettings duty;
     // An evacuated zone gets no requests after this; 0: no zone is ever evacuated here.
     Millis evacuationBound = 0;
--- a/src/freshness/WatchDelegation.cpp
+++ b/src/freshness/WatcherSelector.cpp
@@ -1,4 +1,4 @@
-#include "include/freshness/WatchDelegation.h"
+#include "include/freshness/WatcherSelector.h"
 
 #include "include/base/Hash.h"
 
@@ -21,7 +21,7 @@
 
 // The watchers of a zone; none if every box of it watches. The next in order stand in for boxes
 // that are passed over.
-std::vector<std::string> WatchDelegation::watchersOf(std::span<const std::string> zoneOrder) const {
+std::vector<std::string> WatcherSelector::watchersOf(std::span<const std::string> zoneOrder) const {
     std::vector<std::string> watchers;
     const size_t boxes = zoneOrder.size();
     if (boxes < m_settings.minBoxes) {
@@ -37,21 +37,21 @@
 }
 
 // A watcher that this box has no link to for long is taken to be gone, until it is tried again.
-void WatchDelegation::noteLinks(std::span<const std::string> zoneOrder, std::string_view self,
-                                const std::function<bool(const std::string&)>& linked,
-                                MonoTime now) {
+void WatcherSelector::updateLinks(std::span<const std::string> zoneOrder, std::string_view self,
+                                  const std::function<bool(const std::string&)>& linked,
+                                  MonoTime now) {
     std::erase_if(m_passedOver, [&](const auto& entry) { return entry.second <= now; });
     const std::string wanted = preferred(zoneOrder, self);
-    if (wanted != m_wanted || wanted.empty() || linked(wanted)) {
-        m_wanted = wanted;
-        m_wantedSince = now;
-    } else if (now - m_wantedSince >= m_settings.linkTime) {
-        m_passedOver[wanted] = now + m_settings.alone;
-        m_wanted.clear();
+    if (wanted != m_preferred || wanted.empty() || linked(wanted)) {
+        m_preferred = wanted;
+        m_unlinkedSince = now;
+    } else if (now - m_unlinkedSince >= m_settings.linkTimeout) {
+        m_passedOver[wanted] = now + m_settings.passOverTime;
+        m_preferred.clear();
     }
 }
 
-void WatchDelegation::notePlace(std::span<const std::string> zoneOrder, std::string_view self) {
+void WatcherSelector::updateRole(std::span<const std::string> zoneOrder, std::string_view self) {
     const auto watchers = watchersOf(zoneOrder);
     m_isWatcher = std::find(watchers.begin(), watchers.end(), self) != watchers.end();
     m_rank = 0;
@@ -64,24 +64,24 @@
     }
 }
 
-const std::string& WatchDelegation::choose(std::span<const std::string> zoneOrder,
+const std::string& WatcherSelector::choose(std::span<const std::string> zoneOrder,
                                            std::string_view self,
                                            const std::function<bool(const std::string&)>& linked,
                                            MonoTime now) {
-    noteLinks(zoneOrder, self, linked, now);
-    notePlace(zoneOrder, self);
+    updateLinks(zoneOrder, self, linked, now);
+    updateRole(zoneOrder, self);
     std::string chosen;
     if (!m_isWatcher) {
         chosen = PreferredWatcher(watchersOf(zoneOrder), self, linked);
     }
     if (chosen != m_watcher) {
         m_watcher = std::move(chosen);
-        m_oldSince.reset();
+        m_staleSince.reset();
     }
     return m_watcher;
 }
 
-std::string WatchDelegation::preferred(std::span<const std::string> zoneOrder,
+std::string WatcherSelector::preferred(std::span<const std::string> zoneOrder,
                                        std::string_view self) const {
     if (m_isWatcher) {
         return {};
@@ -92,18 +92,18 @@
 
 // While nobody has young knowledge the store is in trouble, and the next in order would do no
 // better.
-void WatchDelegation::replied(std::string_view from, std::optional<Millis> theirs,
+void WatcherSelector::replied(std::string_view from, std::optional<Millis> theirs,
                               std::optional<Millis> own, MonoTime now) {
     if (from != m_watcher || m_watcher.empty()) {
         return;
     }
     if (isFresh(theirs) || !isFresh(own)) {
-        m_oldSince.reset();
-    } else if (!m_oldSince) {
-        m_oldSince = now;
-    } else if (now - *m_oldSince >= m_settings.linkTime) {
-        m_passedOver[m_watcher] = now + m_settings.alone;
-        m_oldSince.reset();
+        m_staleSince.reset();
+    } else if (!m_staleSince) {
+        m_staleSince = now;
+    } else if (now - *m_staleSince >= m_settings.linkTimeout) {
+        m_passedOver[m_watcher] = now + m_settings.passOverTime;
+        m_staleSince.reset();
     }
 }
 
--- a/tests/WatchDelegationTest.cpp
+++ b/tests/WatcherSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "include/freshness/WatchDelegation.h"
+#include "include/freshness/WatcherSelector.h"
 
 #include <catch2/catch.hpp>
 
@@ -24,7 +24,7 @@
 // A box that asks the first one of its zone.
 struct Follower {
     std::vector<std::string> zone = Zone(8);
-    WatchDelegation delegation{WatchDelegationSettings{}};
+    WatcherSelector delegation{WatcherSelectorSettings{}};
 
     Follower() { ask(kStart); }
     std::string ask(MonoTime now) { return delegation.choose(zone, zone.back(), kAllLinked, now); }
@@ -35,19 +35,19 @@
 TEST_CASE("In a small zone every box watches the store") {
     const auto zone = Zone(4);
     for (const std::string& box : zone) {
-        WatchDelegation delegation{WatchDelegationSettings{}};
+        WatcherSelector delegation{WatcherSelectorSettings{}};
         CHECK(delegation.choose(zone, box, kAllLinked, kStart).empty());
     }
 }
 
 TEST_CASE("In a large zone a few boxes watch, and the others spread over them") {
     const auto zone = Zone(68);
-    WatchDelegationSettings settings;
+    WatcherSelectorSettings settings;
     settings.boxesPerWatcher = 16;
     std::map<std::string, size_t> followers;
     size_t watchers = 0;
     for (const std::string& box : zone) {
-        WatchDelegation delegation{settings};
+        WatcherSelector delegation{settings};
         const std::string watcher = delegation.choose(zone, box, kAllLinked, kStart);
         watchers += watcher.empty() ? 1 : 0;
         if (!watcher.empty()) {
@@ -65,13 +65,13 @@
 // follower asked was old, all left it for 10 s, and without followers it held long watches again.
 TEST_CASE("A watcher that is not fresh yet is asked on, and knows that it is one") {
     const auto zone = Zone(8);
-    WatchDelegation box{WatchDelegationSettings{}};
+    WatcherSelector box{WatcherSelectorSettings{}};
     CHECK(box.choose(zone, zone.back(), kAllLinked, kStart) == zone.front());
     box.replied(zone.front(), 4000, 4000, kStart);
     CHECK(box.choose(zone, zone.back(), kAllLinked, kStart + 333) == zone.front());
     box.replied(zone.front(), 300, 300, kStart + 333);
     CHECK_FALSE(box.isWatcher());
-    WatchDelegation watcher{WatchDelegationSettings{}};
+    WatcherSelector watcher{WatcherSelectorSettings{}};
     CHECK(watcher.choose(zone, zone.front(), kAllLinked, kStart).empty());
     CHECK(watcher.isWatcher());
     CHECK(watcher.preferred(zone, zone.front()).empty());
@@ -80,33 +80,33 @@
 
 TEST_CASE("A watcher that stays old while others are young is passed over for a while") {
     const std::optional<Millis> old = GENERATE(std::optional<Millis>{1300}, std::nullopt);
-    const WatchDelegationSettings settings;
+    const WatcherSelectorSettings settings;
     Follower box;
     box.delegation.replied(box.zone.front(), old, 100, kStart);
-    CHECK(box.ask(kStart + settings.linkTime - 1) == box.zone.front());
-    const MonoTime now = kStart + settings.linkTime;
+    CHECK(box.ask(kStart + settings.linkTimeout - 1) == box.zone.front());
+    const MonoTime now = kStart + settings.linkTimeout;
     box.delegation.replied(box.zone.front(), old, 100, now);
     CHECK(box.ask(now) == box.zone[1]);
-    CHECK(box.ask(now + settings.alone - 1) == box.zone[1]);
-    CHECK(box.ask(now + settings.alone) == box.zone.front());
+    CHECK(box.ask(now + settings.passOverTime - 1) == box.zone[1]);
+    CHECK(box.ask(now + settings.passOverTime) == box.zone.front());
 }
 
 TEST_CASE("A watcher that is old is kept where others know no better, or it was so for a moment") {
-    const WatchDelegationSettings settings;
+    const WatcherSelectorSettings settings;
     const std::string first = Zone(8).front();
     Follower box;
-    for (Millis t = 0; t < 3 * settings.linkTime; t += 100) {
+    for (Millis t = 0; t < 3 * settings.linkTimeout; t += 100) {
         box.delegation.replied(first, 5000, 5000, kStart + t);
         CHECK(box.ask(kStart + t) == first);
     }
-    const MonoTime later = kStart + 3 * settings.linkTime;
+    const MonoTime later = kStart + 3 * settings.linkTimeout;
     box.delegation.replied(first, 5000, 100, later);
     box.delegation.replied(first, 200, 100, later + 100);
-    box.delegation.replied(first, 5000, 100, later + settings.linkTime);
-    CHECK(box.ask(later + settings.linkTime) == first);
+    box.delegation.replied(first, 5000, 100, later + settings.linkTimeout);
+    CHECK(box.ask(later + settings.linkTimeout) == first);
     // What another box says is no word on the watcher.
-    box.delegation.replied("box-107", 5000, 100, later + 3 * settings.linkTime);
-    CHECK(box.ask(later + 3 * settings.linkTime) == first);
+    box.delegation.replied("box-107", 5000, 100, later + 3 * settings.linkTimeout);
+    CHECK(box.ask(later + 3 * settings.linkTimeout) == first);
 }
 
 TEST_CASE("A box whose link to its watcher is gone asks none, and may ask another") {
@@ -122,17 +122,17 @@
     const std::string& dead = zone.front();
     const std::string& next = zone[1];
     const auto linked = [&](const std::string& box) { return box != dead; };
-    WatchDelegation follower{WatchDelegationSettings{}};
-    WatchDelegation standIn{WatchDelegationSettings{}};
+    WatcherSelector follower{WatcherSelectorSettings{}};
+    WatcherSelector standIn{WatcherSelectorSettings{}};
     CHECK(follower.choose(zone, zone.back(), linked, kStart).empty());
     CHECK(standIn.choose(zone, next, linked, kStart).empty());
     CHECK_FALSE(standIn.isWatcher());
-    const MonoTime later = kStart + WatchDelegationSettings{}.linkTime;
+    const MonoTime later = kStart + WatcherSelectorSettings{}.linkTimeout;
     CHECK(follower.choose(zone, zone.back(), linked, later) == next);
     CHECK(standIn.choose(zone, next, linked, later).empty());
     CHECK(standIn.isWatcher());
     // The one that was gone is tried again.
-    const MonoTime back = later + WatchDelegationSettings{}.alone;
+    const MonoTime back = later + WatcherSelectorSettings{}.passOverTime;
     CHECK(follower.choose(zone, zone.back(), kAllLinked, back) == dead);
     CHECK(standIn.choose(zone, next, kAllLinked, back) == dead);
     CHECK_FALSE(standIn.isWatcher());
@@ -147,15 +147,15 @@
 
 TEST_CASE("A box knows how many of its zone would stand in before it") {
     const auto zone = Zone(8);
-    const WatchDelegationSettings settings;
+    const WatcherSelectorSettings settings;
     const auto linked = [&](const std::string& box) { return box != zone.front(); };
     for (size_t i = 1; i < zone.size(); ++i) {
-        WatchDelegation box{settings};
+        WatcherSelector box{settings};
         box.choose(zone, zone[i], kAllLinked, kStart);
         CHECK(box.rank() == i - 1);
         // The first one is gone: the second watches, and is no deputy.
-        box.choose(zone, zone[i], linked, kStart + settings.linkTime);
-        box.choose(zone, zone[i], linked, kStart + 2 * settings.linkTime);
+        box.choose(zone, zone[i], linked, kStart + settings.linkTimeout);
+        box.choose(zone, zone[i], linked, kStart + 2 * settings.linkTimeout);
         CHECK(box.rank() == (i < 2 ? 0 : i - 2));
     }
 }
