--- a/include/freshness/KnowledgeAge.h
+++ b/include/freshness/StateAge.h
@@ -17,31 +17,31 @@
 // since a change would have ended it: it covers all up to its sending plus the wait, provided that
 // so much time has passed here. One that ends with changes covers no more than its sending.
 // Preconditions: sent <= arrived. Thread safety: any thread.
-inline MonoTime WatchCovers(MonoTime sent, MonoTime arrived, Millis wait, bool empty) {
+inline MonoTime WatchConfirmedAsOf(MonoTime sent, MonoTime arrived, Millis wait, bool empty) {
     return empty && arrived - sent >= wait ? sent + wait : sent;
 }
 
-// How long the next watch may be held so that what is known gets no older than `most` while all is
-// well. A watch that ended with changes covers only what was acknowledged before it was sent; were
-// the next one held for all of `most`, the knowledge would get twice as old. `age`: of what is
-// known; `least`: a watch is held for so long at any rate. Preconditions: 0 <= least <= most.
-// Thread safety: any thread.
-inline Millis WaitWithin(Millis most, Millis age, Millis least) {
-    return std::clamp(most - age, least, most);
+// How long the next watch may be held so that what is known gets no older than `maxWait` while all
+// is well. A watch that ended with changes covers only what was acknowledged before it was sent;
+// were the next one held for all of `maxWait`, the knowledge would get twice as old. `age`: of what
+// is known; `minWait`: a watch is held for so long at any rate. Preconditions: 0 <= minWait <=
+// maxWait. Thread safety: any thread.
+inline Millis WaitForMaxAge(Millis maxWait, Millis age, Millis minWait) {
+    return std::clamp(maxWait - age, minWait, maxWait);
 }
 
-// How long a box holds its next watch, between half of `most` and `most`. A change ends the watches
-// of all boxes at the same moment; were the next ones equally long, all boxes' knowledge would be
-// equally old ever after, and when the store falls silent no box would have anything newer
+// How long a box holds its next watch, between half of `maxWait` and `maxWait`. A change ends the
+// watches of all boxes at the same moment; were the next ones equally long, all boxes' knowledge
+// would be equally old ever after, and when the store falls silent no box would have anything newer
 // than the others. `draw`: a random number.
-// Preconditions: most >= 0. Thread safety: any thread.
-inline Millis StaggeredWait(Millis most, uint64_t draw) {
-    const Millis half = most / 2;
-    return most - static_cast<Millis>(draw % static_cast<uint64_t>(half + 1));
+// Preconditions: maxWait >= 0. Thread safety: any thread.
+inline Millis StaggeredWait(Millis maxWait, uint64_t draw) {
+    const Millis half = maxWait / 2;
+    return maxWait - static_cast<Millis>(draw % static_cast<uint64_t>(half + 1));
 }
 
 // Not thread safe: one task owns it.
-class KnowledgeAge {
+class StateAge {
 public:
     // Everything acknowledged before `asOf` is known. Older confirmations change nothing.
     // Preconditions: `asOf` is when a question was sent that was answered since.
--- a/include/freshness/StorePacing.h
+++ b/include/freshness/StorePacing.h
@@ -81,7 +81,7 @@
 inline constexpr Millis kShortestWait = 10;
 
 // Ages of what a box knows, in milliseconds; nothing where it knows none.
-struct KnownAges {
+struct StateAges {
     std::optional<Millis> configuration;
     std::optional<Millis> upstreams;
 
@@ -91,6 +91,6 @@
 
 // Whether what is known is older than the store's answers would leave it: the store does not answer
 // this box, and others are asked. Preconditions: none. Thread safety: any thread.
-bool IsOverdue(const StorePacingSettings& settings, const KnownAges& ages);
+bool IsOverdue(const StorePacingSettings& settings, const StateAges& ages);
 
 }  // namespace onyx
--- a/include/gateway/ConfigurationState.h
+++ b/include/gateway/ConfigurationState.h
@@ -4,7 +4,7 @@
 // Relies on nothing of the gateway; the store's watch and other boxes bring what it takes.
 #pragma once
 
-#include "include/freshness/KnowledgeAge.h"
+#include "include/freshness/StateAge.h"
 #include "include/routing/Catalog.h"
 #include "include/store/ObjectStore.h"
 
@@ -25,7 +25,7 @@
     void reject(const Error& error);
 
     // The configuration in force is the newest of before `asOf`. Preconditions: as
-    // KnowledgeAge::confirm().
+    // StateAge::confirm().
     void confirm(MonoTime asOf) { m_age.confirm(asOf); }
 
     // The configuration in force, or null before the first. Preconditions: none.
@@ -40,7 +40,7 @@
 private:
     std::shared_ptr<const Catalog> m_catalog;
     std::string m_text;
-    KnowledgeAge m_age;
+    StateAge m_age;
 };
 
 }  // namespace onyx
--- a/include/gateway/EvacuationList.h
+++ b/include/gateway/EvacuationList.h
@@ -2,7 +2,7 @@
 // ZoneEvacuations for the rule; the store and other boxes bring the orders.
 #pragma once
 
-#include "include/freshness/KnowledgeAge.h"
+#include "include/freshness/StateAge.h"
 #include "include/health/ZoneEvacuations.h"
 #include "include/observe/Metrics.h"
 
@@ -21,7 +21,7 @@
     void apply(const EvacuationChanges& changes, bool takesBack, std::string_view source,
                MonoTime now);
 
-    // All orders of before `asOf` are known. Preconditions: as KnowledgeAge::confirm().
+    // All orders of before `asOf` are known. Preconditions: as StateAge::confirm().
     void confirm(MonoTime asOf) { m_age.confirm(asOf); }
 
     // Its age in milliseconds, or nothing before the first confirmation. Preconditions: none.
@@ -33,7 +33,7 @@
 private:
     Metrics& m_metrics;
     ZoneEvacuations m_orders;
-    KnowledgeAge m_age;
+    StateAge m_age;
 };
 
 }  // namespace onyx
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -84,7 +84,7 @@
     void addEvacuations(wire::KnowledgeReplyT& reply, MonoTime now) const;
     void takeEvacuations(const std::string& from, const wire::KnowledgeReplyT& reply);
     wire::KnowledgeAskT questionOf(uint64_t round) const;
-    KnownAges ages(MonoTime now) const;
+    StateAges ages(MonoTime now) const;
     bool isOverdue(MonoTime now) const { return IsOverdue(m_settings.pacing, ages(now)); }
     bool isSeed() const;
     bool isIdle() const;
--- a/include/gateway/UpstreamList.h
+++ b/include/gateway/UpstreamList.h
@@ -5,7 +5,7 @@
 // drain or are removed. The store's watch and other boxes bring the list; requests only read it.
 #pragma once
 
-#include "include/freshness/KnowledgeAge.h"
+#include "include/freshness/StateAge.h"
 #include "include/gateway/UpstreamRecords.h"
 #include "include/routing/UpstreamTable.h"
 
@@ -25,7 +25,7 @@
     // Preconditions: times do not fall.
     void apply(const UpstreamChanges& changes, std::string_view source, MonoTime now);
 
-    // The list holds all changes of before `asOf`. Preconditions: as KnowledgeAge::confirm().
+    // The list holds all changes of before `asOf`. Preconditions: as StateAge::confirm().
     void confirm(MonoTime asOf) { m_age.confirm(asOf); }
 
     // Whether there was a list yet. Preconditions: none.
@@ -49,7 +49,7 @@
     UpstreamRecords& m_records;
     UpstreamTable m_table;
     bool m_listed = false;
-    KnowledgeAge m_age;
+    StateAge m_age;
 };
 
 }  // namespace onyx
--- a/include/store/StoreWatch.h
+++ b/include/store/StoreWatch.h
@@ -1,7 +1,7 @@
 // One kind of objects of the store, followed: read once from a copy, then watched, listed after a
 // gap. Before each call it asks whether it may make one: a box that relies on others makes none.
 //
-// Owns its connection to the store. Relies on StorePacing and KnowledgeAge for when to call and for
+// Owns its connection to the store. Relies on StorePacing and StateAge for when to call and for
 // what an answer covers, and on the dialect for the words.
 #pragma once
 
--- a/src/freshness/StorePacing.cpp
+++ b/src/freshness/StorePacing.cpp
@@ -84,14 +84,14 @@
     return std::min(previous == 0 ? first : previous * 2, MaxPauseAfterFailure(facts));
 }
 
-std::optional<Millis> KnownAges::older() const {
+std::optional<Millis> StateAges::older() const {
     if (!configuration || !upstreams) {
         return std::nullopt;
     }
     return std::max(*configuration, *upstreams);
 }
 
-bool IsOverdue(const StorePacingSettings& settings, const KnownAges& ages) {
+bool IsOverdue(const StorePacingSettings& settings, const StateAges& ages) {
     const Millis upstreamLimit = settings.upstreamWait + settings.maxChangePause + kAnswerMargin;
     return !Within(ages.configuration, settings.configurationWait + kAnswerMargin) ||
            !Within(ages.upstreams, upstreamLimit);
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -113,7 +113,7 @@
     }
 }
 
-KnownAges PeerSync::ages(MonoTime now) const {
+StateAges PeerSync::ages(MonoTime now) const {
     return {m_configuration.age(now), m_upstreams.age(now)};
 }
 
--- a/src/store/StoreWatch.cpp
+++ b/src/store/StoreWatch.cpp
@@ -1,7 +1,7 @@
 #include "include/store/StoreWatch.h"
 
 #include "include/base/HttpStatus.h"
-#include "include/freshness/KnowledgeAge.h"
+#include "include/freshness/StateAge.h"
 #include "include/freshness/StorePacing.h"
 
 #include <boost/asio/redirect_error.hpp>
@@ -212,7 +212,7 @@
         return std::min(kShortestWait, wait);
     }
     const Millis most = m_settings.staggered ? StaggeredWait(wait, m_random()) : wait;
-    return WaitWithin(most, ReadClocks().mono - m_asOf, std::min(kShortestWait, most));
+    return WaitForMaxAge(most, ReadClocks().mono - m_asOf, std::min(kShortestWait, most));
 }
 
 Task<Result<bool>> StoreWatch::watch() {
@@ -249,7 +249,7 @@
     update.revision = changes.value().revision;
     const bool unchanged = update.objects.empty();
     m_cause = unchanged ? StoreCallCause::kUnchanged : StoreCallCause::kChanged;
-    update.asOf = WatchCovers(sent, ReadClocks().mono, wait, unchanged);
+    update.asOf = WatchConfirmedAsOf(sent, ReadClocks().mono, wait, unchanged);
     report(std::move(update));
     const Millis pause = unchanged ? 0 : m_sink.pauseAfterChanges();
     if (pause > 0) {
--- a/tests/FreshnessTest.cpp
+++ b/tests/FreshnessTest.cpp
@@ -1,6 +1,6 @@
-#include "include/freshness/KnowledgeAge.h"
 #include "include/freshness/PeerQueries.h"
 #include "include/freshness/StalenessPolicy.h"
+#include "include/freshness/StateAge.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 using namespace onyx;
 
 TEST_CASE("Knowledge ages from the newest confirmation") {
-    KnowledgeAge known;
+    StateAge known;
     CHECK(JudgeStaleness(RefuseStale{}, 1000, known.age({0})) == Staleness::kUnusable);
     CHECK_FALSE(known.age({0}).has_value());
     known.confirm({100});
@@ -28,15 +28,15 @@
 TEST_CASE("A change does not let knowledge grow two watches old") {
     constexpr Millis kMost = 750;
     constexpr Millis kLeast = 10;
-    CHECK(WaitWithin(kMost, 0, kLeast) == 750);
-    CHECK(WaitWithin(kMost, 740, kLeast) == 10);
-    CHECK(WaitWithin(kMost, 5000, kLeast) == 10);
+    CHECK(WaitForMaxAge(kMost, 0, kLeast) == 750);
+    CHECK(WaitForMaxAge(kMost, 740, kLeast) == 10);
+    CHECK(WaitForMaxAge(kMost, 5000, kLeast) == 10);
     // Watches that end at any time by a change: the age stays near one watch.
     for (Millis change = 1; change < kMost; ++change) {
         const MonoTime sent{1000};
         const MonoTime ended = sent + change;
-        const MonoTime asOf = WatchCovers(sent, ended, kMost, false);
-        const Millis next = WaitWithin(kMost, ended - asOf, kLeast);
+        const MonoTime asOf = WatchConfirmedAsOf(sent, ended, kMost, false);
+        const Millis next = WaitForMaxAge(kMost, ended - asOf, kLeast);
         CHECK(ended + next - asOf <= kMost + kLeast);
     }
 }
@@ -58,18 +58,18 @@
 }
 
 TEST_CASE("A box that was frozen finds its knowledge too old") {
-    KnowledgeAge known;
+    StateAge known;
     known.confirm({1000});
     CHECK(JudgeStaleness(RefuseStale{}, 3600, known.age({2000})) == Staleness::kFresh);
     CHECK(JudgeStaleness(RefuseStale{}, 3600, known.age({60000})) == Staleness::kUnusable);
 }
 
 TEST_CASE("A watch covers its wait only if it ended without changes and lasted that long") {
-    CHECK(WatchCovers({100}, {2100}, 2000, true) == MonoTime{2100});
+    CHECK(WatchConfirmedAsOf({100}, {2100}, 2000, true) == MonoTime{2100});
     // It came late: the store ended it when the wait was over, not when it arrived.
-    CHECK(WatchCovers({100}, {9000}, 2000, true) == MonoTime{2100});
-    CHECK(WatchCovers({100}, {1500}, 2000, true) == MonoTime{100});
-    CHECK(WatchCovers({100}, {2100}, 2000, false) == MonoTime{100});
+    CHECK(WatchConfirmedAsOf({100}, {9000}, 2000, true) == MonoTime{2100});
+    CHECK(WatchConfirmedAsOf({100}, {1500}, 2000, true) == MonoTime{100});
+    CHECK(WatchConfirmedAsOf({100}, {2100}, 2000, false) == MonoTime{100});
 }
 
 TEST_CASE("A peer's answer counts from the question, less the age that it tells") {
--- a/tests/KnowledgeSite.cpp
+++ b/tests/KnowledgeSite.cpp
@@ -1,6 +1,6 @@
 #include "tests/KnowledgeSite.h"
 
-#include "include/freshness/KnowledgeAge.h"
+#include "include/freshness/StateAge.h"
 
 #include <algorithm>
 
--- a/tests/StorePacingTest.cpp
+++ b/tests/StorePacingTest.cpp
@@ -64,6 +64,6 @@
     CHECK(IsOverdue(settings, {settings.configurationWait * 2, settings.upstreamWait}));
     CHECK(IsOverdue(settings, {settings.configurationWait, settings.upstreamWait * 2}));
     CHECK(IsOverdue(settings, {std::nullopt, settings.upstreamWait}));
-    CHECK(KnownAges{100, 200}.older() == Millis{200});
-    CHECK_FALSE(KnownAges{100, std::nullopt}.older().has_value());
+    CHECK(StateAges{100, 200}.older() == Millis{200});
+    CHECK_FALSE(StateAges{100, std::nullopt}.older().has_value());
 }
