--- a/include/freshness/RefreshPlanner.h
+++ b/include/freshness/RefreshPlanner.h
@@ -81,7 +81,7 @@
     bool watchesForOthers(MonoTime now) const;
 
     // Whether this box relies on others in ordinary times. Preconditions: none.
-    bool hasOthers() const {
+    bool reliesOnPeers() const {
         return !m_callInputs.isWatcher && !m_callInputs.inSmallZone && m_callInputs.links > 0;
     }
 
--- a/include/freshness/StorePacing.h
+++ b/include/freshness/StorePacing.h
@@ -54,31 +54,31 @@
 Millis EvacuationWait(Millis bound);
 
 // What a box's pace depends on besides its settings.
-struct StorePacingFacts {
+struct StorePacingInputs {
     bool watchesForOthers = false;  // Other boxes follow it, or are about to.
-    bool hasOthers = false;         // It relies on other boxes in ordinary times.
+    bool reliesOnPeers = false;     // It relies on other boxes in ordinary times.
     bool canServe = false;          // What it knows is young enough to admit requests with a key.
-    size_t boxesKnown = 1;          // Of the site, this one included.
+    size_t siteBoxes = 1;           // Of the site, this one included.
 };
 
 // How long the next watch is held, of one that is otherwise held for `wait`.
 // Preconditions: none. Thread safety: any thread.
-Millis HeldWait(const StorePacingSettings& settings, const StorePacingFacts& facts, Millis wait);
+Millis WatchWait(const StorePacingSettings& settings, const StorePacingInputs& inputs, Millis wait);
 
 // The pause after a watch that brought changes of upstreams. Preconditions: none.
 // Thread safety: any thread.
-Millis PauseAfterChanges(const StorePacingSettings& settings, const StorePacingFacts& facts);
+Millis PauseAfterChanges(const StorePacingSettings& settings, const StorePacingInputs& inputs);
 
 // The longest pause after failures in a row. Preconditions: none. Thread safety: any thread.
-Millis MaxPauseAfterFailure(const StorePacingFacts& facts);
+Millis MaxPauseAfterFailure(const StorePacingInputs& inputs);
 
 // The pause after another failure, where the one before was followed by `previous` (0: it was the
 // first in a row): doubles up to the longest. Preconditions: none. Thread safety: any thread.
-Millis PauseAfterFailure(Millis previous, const StorePacingFacts& facts);
+Millis PauseAfterFailure(Millis previous, const StorePacingInputs& inputs);
 
 // The first watch after a failure, and the shortest of any: whether the store is back should be
 // known at once, not when a whole watch ended.
-inline constexpr Millis kShortestWait = 10;
+inline constexpr Millis kMinWatchWaitMs = 10;
 
 // Ages of what a box knows, in milliseconds; nothing where it knows none.
 struct StateAges {
--- a/include/gateway/Gateway.h
+++ b/include/gateway/Gateway.h
@@ -60,7 +60,7 @@
     Gateway(asio::io_context& io, const GatewaySettings& settings, const Dialect& dialect);
     Result<bool> start();
     bool knowsEnough() const;
-    StorePacingFacts pacingFacts() const;
+    StorePacingInputs pacingFacts() const;
     Task<> runDrain(std::function<void()> done);
     Task<> trimConnections();
 
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -59,7 +59,7 @@
     bool watchesForOthers() const;
 
     // Whether this box relies on others in ordinary times. Preconditions: none.
-    bool hasOthers() const { return m_spread.hasOthers(); }
+    bool reliesOnPeers() const { return m_spread.reliesOnPeers(); }
 
     // Whether this box may call the store now for objects of this kind. Preconditions: none.
     bool mayCallStore(ObjectKind kind);
--- a/include/gateway/StoreController.h
+++ b/include/gateway/StoreController.h
@@ -28,7 +28,7 @@
     StoreController(asio::any_io_executor executor, const GatewaySettings& settings,
                     const Dialect& dialect, ConfigurationState& configuration,
                     UpstreamList& upstreams, EvacuationList& evacuations, Metrics& metrics,
-                    std::function<StorePacingFacts()> facts, MayCall mayCall);
+                    std::function<StorePacingInputs()> facts, MayCall mayCall);
 
     // Begins to follow the store. Preconditions: called once.
     void start();
@@ -63,7 +63,7 @@
     UpstreamList& m_upstreamList;
     EvacuationList& m_evacuationList;
     Metrics& m_metrics;
-    std::function<StorePacingFacts()> m_facts;
+    std::function<StorePacingInputs()> m_facts;
     MayCall m_mayCall;
     std::map<ObjectKind, std::unique_ptr<StoreWatch>> m_watches;
 };
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -70,8 +70,8 @@
     return KnowsEnough(m_settings.admission, knowledge);
 }
 
-StorePacingFacts Gateway::pacingFacts() const {
-    return {m_sync.watchesForOthers(), m_sync.hasOthers(), knowsEnough(), m_mesh.boxesKnown()};
+StorePacingInputs Gateway::pacingFacts() const {
+    return {m_sync.watchesForOthers(), m_sync.reliesOnPeers(), knowsEnough(), m_mesh.boxesKnown()};
 }
 
 Task<> Gateway::trimConnections() {
--- a/src/gateway/StoreController.cpp
+++ b/src/gateway/StoreController.cpp
@@ -33,7 +33,7 @@
 StoreController::StoreController(asio::any_io_executor executor, const GatewaySettings& settings,
                                  const Dialect& dialect, ConfigurationState& configuration,
                                  UpstreamList& upstreams, EvacuationList& evacuations,
-                                 Metrics& metrics, std::function<StorePacingFacts()> facts,
+                                 Metrics& metrics, std::function<StorePacingInputs()> facts,
                                  MayCall mayCall)
     : m_executor(std::move(executor)),
       m_settings(settings),
@@ -96,7 +96,7 @@
     const StorePacingSettings& pacing = m_settings.pacing;
     const bool configuration = kind == ObjectKind::kConfiguration;
     const Millis wait = configuration ? pacing.configurationWait : pacing.upstreamWait;
-    return HeldWait(pacing, m_facts(), wait);
+    return WatchWait(pacing, m_facts(), wait);
 }
 
 // A change of the configuration is to be in force at once, as is an evacuation; those of upstreams
--- a/src/store/StoreWatch.cpp
+++ b/src/store/StoreWatch.cpp
@@ -209,10 +209,10 @@
 Millis StoreWatch::nextWait() {
     const Millis wait = m_sink.wait();
     if (m_failed) {
-        return std::min(kShortestWait, wait);
+        return std::min(kMinWatchWaitMs, wait);
     }
     const Millis most = m_settings.staggered ? StaggeredWait(wait, m_random()) : wait;
-    return WaitForMaxAge(most, ReadClocks().mono - m_asOf, std::min(kShortestWait, most));
+    return WaitForMaxAge(most, ReadClocks().mono - m_asOf, std::min(kMinWatchWaitMs, most));
 }
 
 Task<Result<bool>> StoreWatch::watch() {
--- a/tests/KnowledgeSite.cpp
+++ b/tests/KnowledgeSite.cpp
@@ -101,9 +101,10 @@
     return m_now - std::min(*box.asOf[0], *box.asOf[1]);
 }
 
-StorePacingFacts KnowledgeSite::factsOf(const Box& box) const {
+StorePacingInputs KnowledgeSite::factsOf(const Box& box) const {
     const bool canServe = box.asOf[0] && m_now - *box.asOf[0] <= m_size.freshLimit;
-    return {box.spread->watchesForOthers(m_now), box.spread->hasOthers(), canServe, m_size.boxes};
+    return {box.spread->watchesForOthers(m_now), box.spread->reliesOnPeers(), canServe,
+            m_size.boxes};
 }
 
 void KnowledgeSite::step(size_t i) {
@@ -208,9 +209,9 @@
         return;
     }
     const Millis wait = kind == 0 ? m_pacing.configurationWait : m_pacing.upstreamWait;
-    const Millis most = HeldWait(m_pacing, factsOf(box), wait);
+    const Millis most = WatchWait(m_pacing, factsOf(box), wait);
     const Millis held = box.confirmed[kind] ? (kind == 0 ? StaggeredWait(most, m_random()) : most)
-                                            : std::min(kShortestWait, most);
+                                            : std::min(kMinWatchWaitMs, most);
     at(kAnswer + held, [this, i, kind, life, sent, held] {
         Box& answered = *m_boxes[i];
         if (!answered.runs || answered.life != life) {
--- a/tests/KnowledgeSite.h
+++ b/tests/KnowledgeSite.h
@@ -65,7 +65,7 @@
     void step(size_t i);
     void ask(size_t from, size_t to, bool follows);
     void callStore(size_t i, int kind);
-    StorePacingFacts factsOf(const Box& box) const;
+    StorePacingInputs factsOf(const Box& box) const;
     std::optional<Millis> ageOf(const Box& box) const;
     Millis between(Millis least, Millis most);
 
--- a/tests/StorePacingTest.cpp
+++ b/tests/StorePacingTest.cpp
@@ -8,11 +8,11 @@
 
 TEST_CASE("A box that others follow holds short watches and pauses briefly") {
     const StorePacingSettings settings;
-    const StorePacingFacts followed{true, false, true, 85};
-    const StorePacingFacts alone{false, false, true, 85};
-    CHECK(HeldWait(settings, followed, settings.upstreamWait) == settings.followedWait);
-    CHECK(HeldWait(settings, alone, settings.upstreamWait) == settings.upstreamWait);
-    CHECK(HeldWait(settings, followed, 100) == 100);
+    const StorePacingInputs followed{true, false, true, 85};
+    const StorePacingInputs alone{false, false, true, 85};
+    CHECK(WatchWait(settings, followed, settings.upstreamWait) == settings.followedWait);
+    CHECK(WatchWait(settings, alone, settings.upstreamWait) == settings.upstreamWait);
+    CHECK(WatchWait(settings, followed, 100) == 100);
     CHECK(PauseAfterChanges(settings, followed) == settings.followedPause);
     CHECK(PauseAfterChanges(settings, alone) == settings.maxChangePause);
     CHECK(PauseAfterChanges(settings, {false, false, true, 7}) == 7 * settings.pausePerBox);
@@ -38,8 +38,8 @@
 }
 
 TEST_CASE("A failing store is asked rarely by a box that can serve, and never less than doubled") {
-    const StorePacingFacts serving{false, false, true, 7};
-    const StorePacingFacts refusing{false, false, false, 7};
+    const StorePacingInputs serving{false, false, true, 7};
+    const StorePacingInputs refusing{false, false, false, 7};
     const Millis relaxed = MaxPauseAfterFailure(serving);
     const Millis urgent = MaxPauseAfterFailure(refusing);
     CHECK(urgent < relaxed);
