--- a/include/freshness/StalenessPolicy.h
+++ b/include/freshness/StalenessPolicy.h
@@ -21,8 +21,8 @@
 
 // Keys pass on a stale configuration until it is older than `maxAge`, in milliseconds.
 struct ServeStale {
-    static constexpr Millis kDefaultMaxAge = 600000;
-    Millis maxAge = kDefaultMaxAge;
+    static constexpr Millis kDefaultMaxAgeMs = 600000;
+    Millis maxAge = kDefaultMaxAgeMs;
 };
 
 using StalenessPolicy = std::variant<RefuseStale, ServeStale>;
@@ -41,7 +41,7 @@
 
 // Judges a configuration of `age` (nothing: none is known). `freshLimit`: up to this age it is
 // fresh. Preconditions: none. Thread safety: any thread.
-Staleness JudgeStaleness(const StalenessPolicy& policy, Millis freshLimit,
-                         std::optional<Millis> age);
+Staleness ClassifyStaleness(const StalenessPolicy& policy, Millis freshLimit,
+                            std::optional<Millis> age);
 
 }  // namespace onyx
--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 Staleness Judge(const AdmissionRules& rules, std::optional<Millis> catalogAge) {
-    return JudgeStaleness(rules.staleness, rules.freshLimit, catalogAge);
+    return ClassifyStaleness(rules.staleness, rules.freshLimit, catalogAge);
 }
 
 // Finds the team of the request's credential, and its priority; or why there is none.
--- a/src/freshness/StalenessPolicy.cpp
+++ b/src/freshness/StalenessPolicy.cpp
@@ -8,12 +8,12 @@
 
 // Parts of a bound that a box keeps for itself, in milliseconds. The store may be silent for this
 // long while it takes changes, by its operators.
-constexpr Millis kSilentStore = 1000;
+constexpr Millis kMaxStoreSilenceMs = 1000;
 // Clocks, timers and calls are late by no more than this.
-constexpr Millis kLateness = 400;
+constexpr Millis kMaxLatenessMs = 400;
 
 // What a configuration is good for that is no longer fresh.
-struct BeyondFresh {
+struct ClassifyNotFresh {
     Millis age;
 
     Staleness operator()(const RefuseStale&) const { return Staleness::kUnusable; }
@@ -26,18 +26,18 @@
 }  // namespace
 
 Millis FreshLimit(Millis keyBound) {
-    return std::max<Millis>(keyBound / 2, keyBound - kSilentStore - kLateness);
+    return std::max<Millis>(keyBound / 2, keyBound - kMaxStoreSilenceMs - kMaxLatenessMs);
 }
 
-Staleness JudgeStaleness(const StalenessPolicy& policy, Millis freshLimit,
-                         std::optional<Millis> age) {
+Staleness ClassifyStaleness(const StalenessPolicy& policy, Millis freshLimit,
+                            std::optional<Millis> age) {
     if (!age) {
         return Staleness::kUnusable;
     }
     if (*age <= freshLimit) {
         return Staleness::kFresh;
     }
-    return std::visit(BeyondFresh{*age}, policy);
+    return std::visit(ClassifyNotFresh{*age}, policy);
 }
 
 }  // namespace onyx
--- a/src/gateway/GatewaySettings.cpp
+++ b/src/gateway/GatewaySettings.cpp
@@ -40,7 +40,7 @@
 StalenessPolicy ReadStaleness(SettingsReader& reader, Millis freshLimit) {
     const std::string name = reader.text("store.stale_keys", "refuse");
     const Millis maxAge =
-        reader.number("store.stale_limit_ms", ServeStale::kDefaultMaxAge, freshLimit, kDay);
+        reader.number("store.stale_limit_ms", ServeStale::kDefaultMaxAgeMs, freshLimit, kDay);
     if (name == "serve") {
         return ServeStale{maxAge};
     }
--- a/tests/FreshnessTest.cpp
+++ b/tests/FreshnessTest.cpp
@@ -14,13 +14,13 @@
 
 TEST_CASE("Knowledge ages from the newest confirmation") {
     StateAge known;
-    CHECK(JudgeStaleness(RefuseStale{}, 1000, known.age({0})) == Staleness::kUnusable);
+    CHECK(ClassifyStaleness(RefuseStale{}, 1000, known.age({0})) == Staleness::kUnusable);
     CHECK_FALSE(known.age({0}).has_value());
     known.confirm({100});
     known.confirm({50});
     CHECK(known.age({400}) == 300);
-    CHECK(JudgeStaleness(RefuseStale{}, 300, known.age({400})) == Staleness::kFresh);
-    CHECK(JudgeStaleness(RefuseStale{}, 300, known.age({401})) == Staleness::kUnusable);
+    CHECK(ClassifyStaleness(RefuseStale{}, 300, known.age({400})) == Staleness::kFresh);
+    CHECK(ClassifyStaleness(RefuseStale{}, 300, known.age({401})) == Staleness::kUnusable);
 }
 
 // Found in the logs of pcw-onyx-grown quiet-1: after a watch that ended with changes the watchers'
@@ -43,25 +43,25 @@
 
 TEST_CASE("A stale configuration serves nothing under the strict policy") {
     const StalenessPolicy strict = RefuseStale{};
-    CHECK(JudgeStaleness(strict, 3600, 3600) == Staleness::kFresh);
-    CHECK(JudgeStaleness(strict, 3600, 3601) == Staleness::kUnusable);
-    CHECK(JudgeStaleness(strict, 3600, std::nullopt) == Staleness::kUnusable);
+    CHECK(ClassifyStaleness(strict, 3600, 3600) == Staleness::kFresh);
+    CHECK(ClassifyStaleness(strict, 3600, 3601) == Staleness::kUnusable);
+    CHECK(ClassifyStaleness(strict, 3600, std::nullopt) == Staleness::kUnusable);
 }
 
 TEST_CASE("A stale configuration serves up to a limit where a late revocation is tolerated") {
     const StalenessPolicy lenient = ServeStale{60000};
-    CHECK(JudgeStaleness(lenient, 3600, 3600) == Staleness::kFresh);
-    CHECK(JudgeStaleness(lenient, 3600, 3601) == Staleness::kStale);
-    CHECK(JudgeStaleness(lenient, 3600, 60000) == Staleness::kStale);
-    CHECK(JudgeStaleness(lenient, 3600, 60001) == Staleness::kUnusable);
-    CHECK(JudgeStaleness(lenient, 3600, std::nullopt) == Staleness::kUnusable);
+    CHECK(ClassifyStaleness(lenient, 3600, 3600) == Staleness::kFresh);
+    CHECK(ClassifyStaleness(lenient, 3600, 3601) == Staleness::kStale);
+    CHECK(ClassifyStaleness(lenient, 3600, 60000) == Staleness::kStale);
+    CHECK(ClassifyStaleness(lenient, 3600, 60001) == Staleness::kUnusable);
+    CHECK(ClassifyStaleness(lenient, 3600, std::nullopt) == Staleness::kUnusable);
 }
 
 TEST_CASE("A box that was frozen finds its knowledge too old") {
     StateAge known;
     known.confirm({1000});
-    CHECK(JudgeStaleness(RefuseStale{}, 3600, known.age({2000})) == Staleness::kFresh);
-    CHECK(JudgeStaleness(RefuseStale{}, 3600, known.age({60000})) == Staleness::kUnusable);
+    CHECK(ClassifyStaleness(RefuseStale{}, 3600, known.age({2000})) == Staleness::kFresh);
+    CHECK(ClassifyStaleness(RefuseStale{}, 3600, known.age({60000})) == Staleness::kUnusable);
 }
 
 TEST_CASE("A watch covers its wait only if it ended without changes and lasted that long") {
