--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -10,8 +10,8 @@
 #include "include/gateway/GatewaySettings.h"
 #include "include/gateway/LoadExchange.h"
 #include "include/gateway/UpstreamRecords.h"
+#include "include/membership/AnnouncedBoxes.h"
 #include "include/membership/BoxDirectory.h"
-#include "include/membership/BoxNews.h"
 #include "include/observe/Metrics.h"
 #include "include/wire/FrameLink.h"
 
@@ -123,7 +123,7 @@
     std::string m_address;                // Of this box, as others dial it.
     std::map<std::string, Peer> m_links;  // By the peer's address.
     std::optional<BoxDirectory> m_boxes;  // Once this box knows its own address.
-    BoxNews m_news;                       // Which of them the linked boxes know.
+    AnnouncedBoxes m_news;                // Which of them the linked boxes know.
     std::string m_wanted;                 // A box to be linked to besides; empty: none.
     std::set<std::string> m_dialing;
     LoadExchange m_exchange;
--- a/include/membership/BoxNews.h
+++ b/include/membership/AnnouncedBoxes.h
@@ -20,27 +20,28 @@
 namespace onyx {
 
 // Not thread safe: one task owns it.
-class BoxNews {
+class AnnouncedBoxes {
 public:
     // A link to `peer` stands; nothing was said over it yet. Preconditions: none.
-    void linked(const KnownBox& peer);
+    void linkOpened(const KnownBox& peer);
 
     // The link to `peer` is gone. Preconditions: none.
-    void closed(const std::string& peer) { m_known.erase(peer); }
+    void linkClosed(const std::string& peer) { m_announced.erase(peer); }
 
     // The box at `peer` said that it knows `box`. Preconditions: none.
-    void told(const std::string& peer, const KnownBox& box);
+    void noteAnnounced(const std::string& peer, const KnownBox& box);
 
     // Those of `boxes` that `peer` is not known to know; they count as told from now on. None if
     // there is no link to it. Preconditions: none.
-    std::vector<KnownBox> unknownTo(const std::string& peer, std::span<const KnownBox> boxes);
+    std::vector<KnownBox> takeUnannounced(const std::string& peer, std::span<const KnownBox> boxes);
 
 private:
-    using Numbers = std::vector<uint32_t>;  // In rising order: some 4 bytes for each link and box.
+    using ShortHashes =
+        std::vector<uint32_t>;  // In rising order: some 4 bytes for each link and box.
 
-    static bool Insert(Numbers& numbers, const KnownBox& box);
+    static bool Insert(ShortHashes& hashes, const KnownBox& box);
 
-    std::map<std::string, Numbers> m_known;  // By the peer's address.
+    std::map<std::string, ShortHashes> m_announced;  // By the peer's address.
 };
 
 }  // namespace onyx
--- a/tests/BoxNewsTest.cpp
+++ b/tests/AnnouncedBoxesTest.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/BoxNews.h"
+#include "include/membership/AnnouncedBoxes.h"
 
 #include <catch2/catch.hpp>
 
@@ -68,8 +68,8 @@
         }
         ++m_made;
         m_links[to].insert(from);
-        m_news[from].linked(BoxOf(to));
-        m_news[to].linked(BoxOf(from));
+        m_news[from].linkOpened(BoxOf(to));
+        m_news[to].linkOpened(BoxOf(from));
         m_boxes[from].heard(BoxOf(to), {0});
         m_boxes[to].heard(BoxOf(from), {0});
         tell(from, to, m_boxes[from].all());
@@ -77,15 +77,15 @@
     }
 
     void tell(size_t from, size_t to, const std::vector<KnownBox>& boxes) {
-        for (const KnownBox& box : m_news[from].unknownTo(BoxOf(to).address, boxes)) {
+        for (const KnownBox& box : m_news[from].takeUnannounced(BoxOf(to).address, boxes)) {
             ++m_entries;
             m_boxes[to].learn(box, {0});
-            m_news[to].told(BoxOf(from).address, box);
+            m_news[to].noteAnnounced(BoxOf(from).address, box);
         }
     }
 
     std::vector<BoxDirectory> m_boxes;
-    std::vector<BoxNews> m_news;
+    std::vector<AnnouncedBoxes> m_news;
     std::vector<std::set<size_t>> m_links;
     size_t m_entries = 0;
     size_t m_made = 0;
@@ -94,20 +94,20 @@
 }  // namespace
 
 TEST_CASE("A box is told over a link once, and not to who told it") {
-    BoxNews news;
+    AnnouncedBoxes news;
     const std::vector<KnownBox> boxes{BoxOf(1), BoxOf(2), BoxOf(3)};
-    CHECK(news.unknownTo(BoxOf(1).address, boxes).empty());
-    news.linked(BoxOf(1));
-    news.told(BoxOf(1).address, BoxOf(2));
-    CHECK(news.unknownTo(BoxOf(1).address, boxes) == std::vector<KnownBox>{BoxOf(3)});
-    CHECK(news.unknownTo(BoxOf(1).address, boxes).empty());
+    CHECK(news.takeUnannounced(BoxOf(1).address, boxes).empty());
+    news.linkOpened(BoxOf(1));
+    news.noteAnnounced(BoxOf(1).address, BoxOf(2));
+    CHECK(news.takeUnannounced(BoxOf(1).address, boxes) == std::vector<KnownBox>{BoxOf(3)});
+    CHECK(news.takeUnannounced(BoxOf(1).address, boxes).empty());
     // A box whose zone was not known yet is news again; a new link begins anew.
     const std::vector<KnownBox> moved{{BoxOf(3).address, "other"}};
-    CHECK(news.unknownTo(BoxOf(1).address, moved).size() == 1);
-    news.closed(BoxOf(1).address);
-    CHECK(news.unknownTo(BoxOf(1).address, boxes).empty());
-    news.linked(BoxOf(1));
-    CHECK(news.unknownTo(BoxOf(1).address, boxes).size() == 2);
+    CHECK(news.takeUnannounced(BoxOf(1).address, moved).size() == 1);
+    news.linkClosed(BoxOf(1).address);
+    CHECK(news.takeUnannounced(BoxOf(1).address, boxes).empty());
+    news.linkOpened(BoxOf(1));
+    CHECK(news.takeUnannounced(BoxOf(1).address, boxes).size() == 2);
 }
 
 // Grounds: over each link each box has to be told at most once, whichever end says it. Before, both
