--- a/include/membership/BoxDirectory.h
+++ b/include/membership/BoxDirectory.h
@@ -41,12 +41,12 @@
 public:
     // In milliseconds. A sighting of a box is passed on when it is so much newer than the one that
     // was passed on last. 340 boxes cost 340 x 6 bytes x 32 links in this time, 360 bytes a second.
-    static constexpr Millis kSightingPeriod = 180000;
+    static constexpr Millis kSightingPeriodMs = 180000;
     // In milliseconds. A box that was not heard of for so long is forgotten. Sightings take some
-    // ten hops on a site of 340 boxes, a part of kSightingPeriod each.
-    static constexpr Millis kForgetAfter = 600000;
+    // ten hops on a site of 340 boxes, a part of kSightingPeriodMs each.
+    static constexpr Millis kExpiryMs = 600000;
     // Sightings in one digest, so that it stays small: 190 bytes.
-    static constexpr size_t kMostSightings = 32;
+    static constexpr size_t kMaxSightings = 32;
 
     // `self`: this box. `maxDialed`: boxes that each box dials in a site of many.
     // Preconditions: maxDialed > 0.
@@ -56,34 +56,34 @@
     void learn(const KnownBox& box, MonoTime heard);
 
     // Something came from `box` itself. Preconditions: times do not fall.
-    void heard(const KnownBox& box, MonoTime now);
+    void noteContact(const KnownBox& box, MonoTime now);
 
     // How long ago `address` was known to live, in milliseconds; 0 for this box and unknown ones.
     // Preconditions: as above.
     Millis age(const std::string& address, MonoTime now) const;
 
     // Another box heard of a box. Preconditions: as above.
-    void sighted(const BoxSighting& sighting, MonoTime now);
+    void noteSighting(const BoxSighting& sighting, MonoTime now);
 
-    // Sightings to be passed on, those that waited longest first, at most kMostSightings.
+    // Sightings to be passed on, those that waited longest first, at most kMaxSightings.
     // Preconditions: as above.
     std::vector<BoxSighting> takeSightings(MonoTime now);
 
     // Forgets boxes that were last heard of before `oldest`, but for those that `keep` names.
     // Preconditions: none.
-    void forget(MonoTime oldest, const std::function<bool(const std::string&)>& keep);
+    void expire(MonoTime oldest, const std::function<bool(const std::string&)>& keep);
 
     // The boxes that became known, or whose zone did, since the last call; they are to be passed
     // on. Preconditions: none.
-    std::vector<KnownBox> takeNewcomers();
+    std::vector<KnownBox> takeNewBoxes();
 
     // All boxes, this one included. Preconditions: none.
     std::vector<KnownBox> all() const;
 
     // The boxes that this one is to dial. In a small site that is about half of them, since of two
-    // boxes one dials; in a large one a stable sample. `alone`: this box has no link yet, so it
-    // dials all that it knows, as nobody may know of it. Preconditions: none.
-    std::vector<std::string> toDial(bool alone) const;
+    // boxes one dials; in a large one a stable sample. `hasNoLinks`: this box has no link yet, so
+    // it dials all that it knows, as nobody may know of it. Preconditions: none.
+    std::vector<std::string> boxesToDial(bool hasNoLinks) const;
 
     // Address of this box. Preconditions: none.
     const std::string& self() const { return m_self.address; }
@@ -109,20 +109,20 @@
 private:
     struct Entry {
         std::string zone;
-        MonoTime heard;
-        MonoTime passedOn;  // As of when it was heard, when that was passed on last.
+        MonoTime lastSeen;
+        MonoTime publishedAsOf;  // As of when it was heard, when that was passed on last.
     };
 
-    Entry& note(const KnownBox& box, MonoTime now);
-    void arrange();
-    void place(const std::string& address);
+    Entry& upsert(const KnownBox& box, MonoTime now);
+    void rebuildRing();
+    void insertIntoRing(const std::string& address);
     bool links(size_t from, size_t to) const;
 
     KnownBox m_self;
     size_t m_maxDialed;
     std::map<std::string, Entry> m_boxes;         // By address.
     std::map<uint32_t, std::string> m_addresses;  // By short hash.
-    std::vector<std::string> m_newcomers;         // Addresses.
+    std::vector<std::string> m_newBoxes;          // Addresses.
     // All boxes in the order of their hashes: each dials those that follow it.
     std::vector<std::pair<uint64_t, std::string>> m_ring;
     size_t m_selfIndex = 0;
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -188,7 +188,7 @@
     for (size_t i = 0; i < count; ++i) {
         // Rounded up: each hop may have cut off most of a second.
         const Millis age = (Millis{digest.sighted_s[i]} + 1) * 1000;
-        boxes.sighted({digest.sighted[i], age}, now);
+        boxes.noteSighting({digest.sighted[i], age}, now);
     }
 }
 
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -76,7 +76,7 @@
         dropSilent();
         countBuilds();
         announceBoxes();
-        m_boxes->forget(now - BoxDirectory::kForgetAfter,
+        m_boxes->expire(now - BoxDirectory::kExpiryMs,
                         [this](const std::string& address) { return m_links.contains(address); });
         m_boxesKnown = m_boxes->size();
         dialMissing();
@@ -85,7 +85,7 @@
 }
 
 void PeerMesh::dialMissing() {
-    std::vector<std::string> wanted = m_boxes->toDial(m_links.empty());
+    std::vector<std::string> wanted = m_boxes->boxesToDial(m_links.empty());
     if (!m_wanted.empty()) {
         wanted.push_back(m_wanted);
     }
@@ -148,7 +148,7 @@
     m_links[address].dialed = dialed;
     m_news.linkOpened({address, link->peer().zone});
     m_exchange.noteVersion(address, link->peer().takes_load_reports);
-    m_boxes->heard({address, link->peer().zone}, now);
+    m_boxes->noteContact({address, link->peer().zone}, now);
     logEvent(Event::kPeerUp,
              {{"peer", link->peer().box}, {"address", address}, {"build", link->peer().build}});
     link->start([this](FrameLink& from, wire::BodyUnion& body) { onFrame(from, body); },
@@ -198,7 +198,7 @@
 }
 
 void PeerMesh::announceBoxes() {
-    const std::vector<KnownBox> newcomers = m_boxes->takeNewcomers();
+    const std::vector<KnownBox> newcomers = m_boxes->takeNewBoxes();
     if (newcomers.empty()) {
         return;
     }
@@ -255,7 +255,7 @@
         return;
     }
     it->second.heard = now;
-    m_boxes->heard({address, link.peer().zone}, now);
+    m_boxes->noteContact({address, link.peer().zone}, now);
     if (!IsKnownMessage(body)) {
         noteUnknown(it->second, body);
         return;
--- a/src/membership/BoxDirectory.cpp
+++ b/src/membership/BoxDirectory.cpp
@@ -8,22 +8,22 @@
 
 BoxDirectory::BoxDirectory(KnownBox self, size_t maxDialed)
     : m_self(std::move(self)), m_maxDialed(maxDialed) {
-    arrange();
+    rebuildRing();
 }
 
-void BoxDirectory::arrange() {
+void BoxDirectory::rebuildRing() {
     m_ring.clear();
     m_addresses.clear();
-    place(m_self.address);
+    insertIntoRing(m_self.address);
     for (const auto& [address, entry] : m_boxes) {
-        place(address);
+        insertIntoRing(address);
     }
 }
 
 // One at a time: a box that starts learns hundreds, and sorting them all for each took most of the
 // processor's time of that second (BoxDirectoryTest, 295 boxes that learn each other: 30 s and 8
 // s).
-void BoxDirectory::place(const std::string& address) {
+void BoxDirectory::insertIntoRing(const std::string& address) {
     ++m_version;
     const std::pair<uint64_t, std::string> entry(HashText(address), address);
     m_ring.insert(std::lower_bound(m_ring.begin(), m_ring.end(), entry), entry);
@@ -35,80 +35,80 @@
     m_selfIndex = static_cast<size_t>(found - m_ring.begin());
 }
 
-BoxDirectory::Entry& BoxDirectory::note(const KnownBox& box, MonoTime now) {
+BoxDirectory::Entry& BoxDirectory::upsert(const KnownBox& box, MonoTime now) {
     const auto [it, isNew] = m_boxes.try_emplace(box.address, Entry{box.zone, now, now});
     const bool bringsZone = !box.zone.empty() && it->second.zone != box.zone;
     if (bringsZone) {
         it->second.zone = box.zone;
     }
     if (isNew) {
-        place(box.address);
+        insertIntoRing(box.address);
     }
     if (isNew || bringsZone) {
-        m_newcomers.push_back(box.address);
+        m_newBoxes.push_back(box.address);
     }
     return it->second;
 }
 
 void BoxDirectory::learn(const KnownBox& box, MonoTime heard) {
     if (box.address != m_self.address) {
-        Entry& entry = note(box, heard);
-        entry.heard = std::max(entry.heard, heard);
+        Entry& entry = upsert(box, heard);
+        entry.lastSeen = std::max(entry.lastSeen, heard);
     }
 }
 
-void BoxDirectory::heard(const KnownBox& box, MonoTime now) {
+void BoxDirectory::noteContact(const KnownBox& box, MonoTime now) {
     learn(box, now);
 }
 
 Millis BoxDirectory::age(const std::string& address, MonoTime now) const {
     const auto it = m_boxes.find(address);
-    return it == m_boxes.end() ? 0 : std::max<Millis>(0, now - it->second.heard);
+    return it == m_boxes.end() ? 0 : std::max<Millis>(0, now - it->second.lastSeen);
 }
 
-void BoxDirectory::sighted(const BoxSighting& sighting, MonoTime now) {
+void BoxDirectory::noteSighting(const BoxSighting& sighting, MonoTime now) {
     const auto known = m_addresses.find(sighting.box);
     if (known != m_addresses.end() && sighting.age >= 0) {
         Entry& entry = m_boxes.at(known->second);
-        entry.heard = std::max(entry.heard, now - sighting.age);
+        entry.lastSeen = std::max(entry.lastSeen, now - sighting.age);
     }
 }
 
 std::vector<BoxSighting> BoxDirectory::takeSightings(MonoTime now) {
     std::vector<std::pair<MonoTime, std::string>> due;
     for (const auto& [address, entry] : m_boxes) {
-        if (entry.heard - entry.passedOn >= kSightingPeriod) {
-            due.emplace_back(entry.passedOn, address);
+        if (entry.lastSeen - entry.publishedAsOf >= kSightingPeriodMs) {
+            due.emplace_back(entry.publishedAsOf, address);
         }
     }
     std::sort(due.begin(), due.end());
-    due.resize(std::min(due.size(), kMostSightings));
+    due.resize(std::min(due.size(), kMaxSightings));
     std::vector<BoxSighting> sightings;
-    for (const auto& [passedOn, address] : due) {
+    for (const auto& [publishedAsOf, address] : due) {
         Entry& entry = m_boxes.at(address);
-        entry.passedOn = entry.heard;
-        sightings.push_back({ShortHash(address), now - entry.heard});
+        entry.publishedAsOf = entry.lastSeen;
+        sightings.push_back({ShortHash(address), now - entry.lastSeen});
     }
     return sightings;
 }
 
-void BoxDirectory::forget(MonoTime oldest, const std::function<bool(const std::string&)>& keep) {
+void BoxDirectory::expire(MonoTime oldest, const std::function<bool(const std::string&)>& keep) {
     const size_t forgotten = std::erase_if(
-        m_boxes, [&](const auto& box) { return box.second.heard < oldest && !keep(box.first); });
+        m_boxes, [&](const auto& box) { return box.second.lastSeen < oldest && !keep(box.first); });
     if (forgotten > 0) {
-        arrange();
+        rebuildRing();
     }
 }
 
-std::vector<KnownBox> BoxDirectory::takeNewcomers() {
-    std::vector<KnownBox> newcomers;
-    for (const std::string& address : std::exchange(m_newcomers, {})) {
+std::vector<KnownBox> BoxDirectory::takeNewBoxes() {
+    std::vector<KnownBox> newBoxes;
+    for (const std::string& address : std::exchange(m_newBoxes, {})) {
         const auto it = m_boxes.find(address);
         if (it != m_boxes.end()) {
-            newcomers.push_back({address, it->second.zone});
+            newBoxes.push_back({address, it->second.zone});
         }
     }
-    return newcomers;
+    return newBoxes;
 }
 
 std::vector<KnownBox> BoxDirectory::all() const {
@@ -125,7 +125,7 @@
     return distance >= 1 && distance <= m_maxDialed;
 }
 
-std::vector<std::string> BoxDirectory::toDial(bool alone) const {
+std::vector<std::string> BoxDirectory::boxesToDial(bool hasNoLinks) const {
     std::vector<std::string> dialed;
     for (size_t i = 0; i < m_ring.size(); ++i) {
         const std::string& address = m_ring[i].second;
@@ -135,7 +135,7 @@
         // Where two boxes would dial each other, the one with the smaller address does.
         const bool isOurs =
             links(m_selfIndex, i) && (m_self.address < address || !links(i, m_selfIndex));
-        if (alone || isOurs) {
+        if (hasNoLinks || isOurs) {
             dialed.push_back(address);
         }
     }
--- a/tests/AnnouncedBoxesTest.cpp
+++ b/tests/AnnouncedBoxesTest.cpp
@@ -33,11 +33,11 @@
 
     void round() {
         for (size_t i = 0; i < m_boxes.size(); ++i) {
-            const std::vector<KnownBox> newcomers = m_boxes[i].takeNewcomers();
+            const std::vector<KnownBox> newcomers = m_boxes[i].takeNewBoxes();
             for (const size_t peer : std::set<size_t>(m_links[i])) {
                 tell(i, peer, newcomers);
             }
-            for (const std::string& address : m_boxes[i].toDial(m_links[i].empty())) {
+            for (const std::string& address : m_boxes[i].boxesToDial(m_links[i].empty())) {
                 link(i, numberOf(address));
             }
         }
@@ -70,8 +70,8 @@
         m_links[to].insert(from);
         m_news[from].linkOpened(BoxOf(to));
         m_news[to].linkOpened(BoxOf(from));
-        m_boxes[from].heard(BoxOf(to), {0});
-        m_boxes[to].heard(BoxOf(from), {0});
+        m_boxes[from].noteContact(BoxOf(to), {0});
+        m_boxes[to].noteContact(BoxOf(from), {0});
         tell(from, to, m_boxes[from].all());
         tell(to, from, m_boxes[to].all());
     }
--- a/tests/BoxDirectoryTest.cpp
+++ b/tests/BoxDirectoryTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr size_t kMostDialed = 16;
+constexpr size_t kMaxDialed = 16;
 
 KnownBox BoxOf(size_t number, const std::string& zone = "z") {
     return {"10.0.0." + std::to_string(number) + ":70", zone};
@@ -22,7 +22,7 @@
 std::vector<BoxDirectory> Site(size_t count) {
     std::vector<BoxDirectory> site;
     for (size_t i = 0; i < count; ++i) {
-        site.emplace_back(BoxOf(i), kMostDialed);
+        site.emplace_back(BoxOf(i), kMaxDialed);
         for (size_t other = 0; other < count; ++other) {
             site.back().learn(BoxOf(other), {0});
         }
@@ -35,18 +35,18 @@
 // Found in the logs of a site of 85 boxes: each new link told all boxes to all links, 0.7 GB in a
 // minute.
 TEST_CASE("A box is told on once, and again only when its zone becomes known") {
-    BoxDirectory boxes(BoxOf(0), kMostDialed);
+    BoxDirectory boxes(BoxOf(0), kMaxDialed);
     boxes.learn(BoxOf(1, ""), {1});
     boxes.learn(BoxOf(2), {1});
-    CHECK(boxes.takeNewcomers() == std::vector<KnownBox>{BoxOf(1, ""), BoxOf(2)});
+    CHECK(boxes.takeNewBoxes() == std::vector<KnownBox>{BoxOf(1, ""), BoxOf(2)});
     boxes.learn(BoxOf(2), {2});
-    boxes.heard(BoxOf(2), {3});
+    boxes.noteContact(BoxOf(2), {3});
     boxes.learn(BoxOf(0), {3});
-    CHECK(boxes.takeNewcomers().empty());
-    boxes.heard(BoxOf(1), {4});
-    CHECK(boxes.takeNewcomers() == std::vector<KnownBox>{BoxOf(1)});
+    CHECK(boxes.takeNewBoxes().empty());
+    boxes.noteContact(BoxOf(1), {4});
+    CHECK(boxes.takeNewBoxes() == std::vector<KnownBox>{BoxOf(1)});
     boxes.learn(BoxOf(1, ""), {5});
-    CHECK(boxes.takeNewcomers().empty());
+    CHECK(boxes.takeNewBoxes().empty());
     CHECK(boxes.size() == 3);
 }
 
@@ -55,7 +55,7 @@
     const auto site = Site(kBoxes);
     size_t links = 0;
     for (const BoxDirectory& box : site) {
-        links += box.toDial(false).size();
+        links += box.boxesToDial(false).size();
     }
     CHECK(links == kBoxes * (kBoxes - 1) / 2);
 }
@@ -65,14 +65,14 @@
     const auto site = Site(kBoxes);
     std::map<std::string, size_t> dialed;
     for (const BoxDirectory& box : site) {
-        const auto targets = box.toDial(false);
-        CHECK(targets.size() == kMostDialed);
+        const auto targets = box.boxesToDial(false);
+        CHECK(targets.size() == kMaxDialed);
         for (const std::string& target : targets) {
             ++dialed[target];
         }
     }
     CHECK(std::all_of(dialed.begin(), dialed.end(),
-                      [](const auto& entry) { return entry.second == kMostDialed; }));
+                      [](const auto& entry) { return entry.second == kMaxDialed; }));
     CHECK(dialed.size() == kBoxes);
 }
 
@@ -83,11 +83,11 @@
     for (size_t i = 0; i < site.size(); ++i) {
         neighbours += box.isNeighbour(BoxOf(i).address) ? 1 : 0;
     }
-    CHECK(neighbours == 2 * kMostDialed);
+    CHECK(neighbours == 2 * kMaxDialed);
     CHECK(box.neighbourShare() == Approx(32.0 / 84));
     CHECK(Site(7).front().neighbourShare() == 1);
     CHECK(Site(1).front().neighbourShare() == 1);
-    for (const std::string& dialed : box.toDial(false)) {
+    for (const std::string& dialed : box.boxesToDial(false)) {
         CHECK(box.isNeighbour(dialed));
     }
     CHECK_FALSE(box.isNeighbour(BoxOf(0).address));
@@ -97,22 +97,22 @@
 
 TEST_CASE("A box without links dials all that it knows") {
     const auto site = Site(40);
-    CHECK(site.front().toDial(true).size() == 39);
+    CHECK(site.front().boxesToDial(true).size() == 39);
 }
 
 TEST_CASE("Boxes that nobody heard of for long are forgotten, but for those that are linked") {
-    BoxDirectory boxes(BoxOf(0), kMostDialed);
+    BoxDirectory boxes(BoxOf(0), kMaxDialed);
     boxes.learn(BoxOf(1), {1});
     boxes.learn(BoxOf(2), {1});
-    boxes.heard(BoxOf(3), {9});
-    boxes.forget({5}, [](const std::string& address) { return address == BoxOf(2).address; });
+    boxes.noteContact(BoxOf(3), {9});
+    boxes.expire({5}, [](const std::string& address) { return address == BoxOf(2).address; });
     CHECK(boxes.size() == 3);
-    CHECK(boxes.toDial(true).size() == 2);
+    CHECK(boxes.boxesToDial(true).size() == 2);
 }
 
 TEST_CASE("All boxes of a zone agree on their order") {
-    BoxDirectory first(BoxOf(0), kMostDialed);
-    BoxDirectory second(BoxOf(1), kMostDialed);
+    BoxDirectory first(BoxOf(0), kMaxDialed);
+    BoxDirectory second(BoxOf(1), kMaxDialed);
     for (size_t i = 0; i < 6; ++i) {
         first.learn(BoxOf(i), {0});
         second.learn(BoxOf(i), {0});
@@ -130,7 +130,7 @@
 public:
     explicit SightingSite(size_t count) : m_lives(count, true) {
         for (size_t i = 0; i < count; ++i) {
-            m_boxes.emplace_back(address(i), kMostDialed);
+            m_boxes.emplace_back(address(i), kMaxDialed);
             for (size_t other = 0; other < count; ++other) {
                 m_boxes.back().learn(address(other), m_now);
             }
@@ -171,14 +171,14 @@
                 continue;
             }
             linked.insert(address(to).address);
-            m_boxes[to].heard(address(from), m_now);
+            m_boxes[to].noteContact(address(from), m_now);
             for (const BoxSighting& sighting : sightings) {
                 if (m_tells) {
-                    m_boxes[to].sighted(sighting, m_now);
+                    m_boxes[to].noteSighting(sighting, m_now);
                 }
             }
         }
-        m_boxes[from].forget(m_now - BoxDirectory::kForgetAfter,
+        m_boxes[from].expire(m_now - BoxDirectory::kExpiryMs,
                              [&](const std::string& box) { return linked.contains(box); });
     }
 
@@ -199,18 +199,18 @@
 TEST_CASE("Boxes of a large site know each other for as long as they live") {
     constexpr size_t kBoxes = 295;
     SightingSite site(kBoxes);
-    site.play(2 * BoxDirectory::kForgetAfter);
+    site.play(2 * BoxDirectory::kExpiryMs);
     for (size_t i = 0; i < kBoxes; ++i) {
         CHECK(site.known(i) == kBoxes);
     }
-    CHECK(site.most() <= BoxDirectory::kMostSightings);
-    // A third of them ends: the others forget these, and no others.
+    CHECK(site.most() <= BoxDirectory::kMaxSightings);
+    // A third of them ends: the others expire these, and no others.
     size_t left = kBoxes;
     for (size_t i = 0; i < kBoxes; i += 3) {
         site.kill(i);
         --left;
     }
-    site.play(3 * BoxDirectory::kForgetAfter);
+    site.play(3 * BoxDirectory::kExpiryMs);
     for (size_t i = 1; i < kBoxes; i += 3) {
         CHECK(site.known(i) == left);
     }
@@ -219,25 +219,25 @@
 TEST_CASE("Without sightings a box of a large site keeps none but the boxes that it is linked to") {
     SightingSite site(295);
     site.stopTelling();
-    site.play(2 * BoxDirectory::kForgetAfter);
+    site.play(2 * BoxDirectory::kExpiryMs);
     CHECK(site.known(7) < 100);
 }
 
 TEST_CASE("What is said of a box that is gone only gets older") {
-    BoxDirectory boxes(BoxOf(0), kMostDialed);
+    BoxDirectory boxes(BoxOf(0), kMaxDialed);
     boxes.learn(BoxOf(1), {1000});
     const uint32_t number = ShortHash(BoxOf(1).address);
-    constexpr Millis kPeriod = BoxDirectory::kSightingPeriod;
-    boxes.sighted({number, 500}, {1000 + kPeriod});
+    constexpr Millis kPeriod = BoxDirectory::kSightingPeriodMs;
+    boxes.noteSighting({number, 500}, {1000 + kPeriod});
     CHECK(boxes.age(BoxOf(1).address, {1000 + kPeriod}) == 500);
     // Not yet so much newer than what was passed on.
     CHECK(boxes.takeSightings({1000 + kPeriod}).empty());
-    boxes.sighted({number, 0}, {1000 + kPeriod});
+    boxes.noteSighting({number, 0}, {1000 + kPeriod});
     REQUIRE(boxes.takeSightings({3000 + kPeriod}).size() == 1);
     CHECK(boxes.takeSightings({3000 + kPeriod}).empty());
     // The same word over a longer way, and of a box that is not known.
-    boxes.sighted({number, 9000}, {4000 + kPeriod});
-    boxes.sighted({number + 1, 0}, {4000 + kPeriod});
+    boxes.noteSighting({number, 9000}, {4000 + kPeriod});
+    boxes.noteSighting({number + 1, 0}, {4000 + kPeriod});
     CHECK(boxes.age(BoxOf(1).address, {4000 + kPeriod}) == 3000);
     CHECK(boxes.size() == 2);
 }
