--- a/include/membership/DrawBoxes.h
+++ b/include/membership/SampleBoxes.h
@@ -11,7 +11,7 @@
 
 // `count` of the boxes, or all if there are fewer. `self`: the address of the box that draws, so
 // that not all draw the same ones. Preconditions: none. Thread safety: any thread.
-std::vector<std::string> DrawBoxes(std::vector<std::string> boxes, size_t count,
-                                   const std::string& self, uint64_t round);
+std::vector<std::string> SampleBoxes(std::vector<std::string> boxes, size_t count,
+                                     const std::string& self, uint64_t round);
 
 }  // namespace onyx
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -1,7 +1,7 @@
 #include "include/gateway/CrashExchange.h"
 
-#include "include/membership/DrawBoxes.h"
 #include "include/membership/RingRoute.h"
+#include "include/membership/SampleBoxes.h"
 #include "include/wire/FrameCodec.h"
 
 #include <algorithm>
@@ -224,7 +224,7 @@
                                                        std::span<const std::string> linked,
                                                        MonoTime now) {
     std::vector<std::string> to =
-        DrawBoxes({linked.begin(), linked.end()}, kFanOut, self, ++m_round);
+        SampleBoxes({linked.begin(), linked.end()}, kFanOut, self, ++m_round);
     const auto isCause = [&](const CrashNews& news) {
         return isQuarantined(news.sighting.request, now);
     };
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -2,7 +2,7 @@
 
 #include "include/base/Hash.h"
 #include "include/membership/DigestPeriod.h"
-#include "include/membership/DrawBoxes.h"
+#include "include/membership/SampleBoxes.h"
 
 #include <algorithm>
 #include <utility>
@@ -126,7 +126,7 @@
                                                      std::vector<std::string> neighbours) {
     std::erase_if(neighbours,
                   [&](const std::string& address) { return m_older.contains(address); });
-    return DrawBoxes(std::move(neighbours), kReportFanOut, self, ++m_reportRound);
+    return SampleBoxes(std::move(neighbours), kReportFanOut, self, ++m_reportRound);
 }
 
 OutgoingFrame LoadExchange::reportsFor(std::vector<std::string> targets, size_t most,
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -173,7 +173,7 @@
     const MonoTime now = ReadClocks().mono;
     std::vector<std::shared_ptr<FrameLink>> silent;
     for (const auto& [address, peer] : m_links) {
-        if (now - peer.heard > SilenceBound(peer.digestPeriod)) {
+        if (now - peer.heard > SilenceTimeout(peer.digestPeriod)) {
             silent.push_back(peer.link);
         }
     }
--- a/src/membership/DrawBoxes.cpp
+++ b/src/membership/SampleBoxes.cpp
@@ -1,4 +1,4 @@
-#include "include/membership/DrawBoxes.h"
+#include "include/membership/SampleBoxes.h"
 
 #include "include/base/Hash.h"
 
@@ -6,8 +6,8 @@
 
 namespace onyx {
 
-std::vector<std::string> DrawBoxes(std::vector<std::string> boxes, size_t count,
-                                   const std::string& self, uint64_t round) {
+std::vector<std::string> SampleBoxes(std::vector<std::string> boxes, size_t count,
+                                     const std::string& self, uint64_t round) {
     const uint64_t draw = RendezvousScore(round, self);
     const size_t drawn = std::min(count, boxes.size());
     std::partial_sort(boxes.begin(), boxes.begin() + static_cast<std::ptrdiff_t>(drawn),
--- a/tests/DigestPeriodTest.cpp
+++ b/tests/DigestPeriodTest.cpp
@@ -9,6 +9,6 @@
 TEST_CASE("A link is not silent before the digest that its box announced is overdue") {
     const Millis period = DigestPeriod(100, 32, 500, 4000);
     CHECK(period == 4000);
-    CHECK(SilenceBound(period) > 2 * period);
-    CHECK(SilenceBound(0) == SilenceBound(100));
+    CHECK(SilenceTimeout(period) > 2 * period);
+    CHECK(SilenceTimeout(0) == SilenceTimeout(100));
 }
