--- a/tests/RefreshPlannerTest.cpp
+++ b/tests/RefreshPlannerTest.cpp
@@ -1,6 +1,6 @@
 #include "include/freshness/RefreshPlanner.h"
 
-#include "tests/KnowledgeSite.h"
+#include "tests/RefreshSimulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -28,17 +28,17 @@
 
 TEST_CASE("A quiet day's calls grow with the zones, not with the boxes") {
     const size_t boxes = GENERATE(90, 295, 340);
-    KnowledgeSite site({boxes, 5, 4000, 3600}, 1);
+    RefreshSimulation site({boxes, 5, 4000, 3600}, 1);
     site.play(3000);
     CHECK(site.olderThan(kBound) == 0);
-    site.takeOldest();
+    site.takeMaxAge();
     site.play(kDay - 3000);
-    CHECK(site.calls() + site.copies() / 10 <= 1200);
-    CHECK(site.takeOldest() <= kBound);
+    CHECK(site.calls() + site.copyReads() / 10 <= 1200);
+    CHECK(site.takeMaxAge() <= kBound);
 }
 
 TEST_CASE("Every box that starts is served by its neighbours, at once or by its own call") {
-    KnowledgeSite site({295, 5, 4000, 3600}, 2);
+    RefreshSimulation site({295, 5, 4000, 3600}, 2);
     site.play(kSettled);
     const size_t before = site.calls();
     std::vector<size_t> third;
@@ -55,7 +55,7 @@
 // Grounds: a box that waits for others that know nothing refuses meanwhile; two calls are worth
 // less than the requests of a second.
 TEST_CASE("All boxes killed at once know enough again within half a second of their start") {
-    KnowledgeSite site({295, 5, 4000, 3600}, 3);
+    RefreshSimulation site({295, 5, 4000, 3600}, 3);
     site.play(kSettled);
     const size_t before = site.calls();
     site.kill(AllOf(295), 1000);
@@ -67,35 +67,35 @@
 
 // Pattern: a watcher dies, and all who asked it called the store by themselves for ten seconds.
 TEST_CASE("The loss of all watchers at once makes no box's knowledge old, and few calls") {
-    KnowledgeSite site({295, 5, 4000, 3600}, 4);
+    RefreshSimulation site({295, 5, 4000, 3600}, 4);
     site.play(kSettled);
     const std::vector<size_t> watchers = site.watchers();
     CHECK(watchers.size() >= 5);
-    site.takeOldest();
+    site.takeMaxAge();
     const size_t before = site.calls();
     site.kill(watchers, 5000);
     site.play(10000);
-    CHECK(site.takeOldest() <= kBound);
+    CHECK(site.takeMaxAge() <= kBound);
     CHECK(site.calls() - before <= 600);
 }
 
 // Pattern: the store turns a share of the boxes away, the watchers first, and serves the others.
 TEST_CASE("Boxes that the store turns away are kept young by those that it serves") {
-    KnowledgeSite site({295, 5, 4000, 3600}, 5);
+    RefreshSimulation site({295, 5, 4000, 3600}, 5);
     site.play(kSettled);
     const std::vector<size_t> watchers = site.watchers();
-    site.takeOldest();
+    site.takeMaxAge();
     const size_t before = site.calls();
     site.refuse([&](size_t i) {
         return i % 3 == 0 || std::find(watchers.begin(), watchers.end(), i) != watchers.end();
     });
     site.play(kSettled);
-    CHECK(site.takeOldest() <= kBound);
+    CHECK(site.takeMaxAge() <= kBound);
     CHECK(site.calls() - before <= 1000);
 }
 
 TEST_CASE("A store that is down is tried by a few boxes at a time, and its return reaches all") {
-    KnowledgeSite site({295, 5, 4000, 3600}, 6);
+    RefreshSimulation site({295, 5, 4000, 3600}, 6);
     site.play(kSettled);
     const size_t before = site.calls();
     site.refuse([](size_t) { return true; });
@@ -111,22 +111,22 @@
 }
 
 TEST_CASE("A zone whose boxes lose the store is kept young by the other zones") {
-    KnowledgeSite site({295, 5, 4000, 3600}, 7);
+    RefreshSimulation site({295, 5, 4000, 3600}, 7);
     site.play(kSettled);
-    site.takeOldest();
+    site.takeMaxAge();
     const size_t before = site.calls();
     site.refuse([&](size_t i) { return site.zoneOf(i) == 2; });
     site.play(kSettled);
-    CHECK(site.takeOldest() <= kBound);
+    CHECK(site.takeMaxAge() <= kBound);
     CHECK(site.calls() - before <= 1000);
 }
 
 TEST_CASE("In zones of few boxes each watches, and none waits for others when it starts") {
-    KnowledgeSite site({7, 3, 2000, 3600}, 8);
+    RefreshSimulation site({7, 3, 2000, 3600}, 8);
     site.play(2000);
     CHECK(site.olderThan(kBound) == 0);
     const size_t before = site.calls();
     site.play(10000);
     CHECK(site.calls() - before >= 7 * 5);
-    CHECK(site.takeOldest() <= 4600);
+    CHECK(site.takeMaxAge() <= 4600);
 }
--- a/tests/KnowledgeSite.h
+++ b/tests/RefreshSimulation.h
@@ -21,7 +21,7 @@
 namespace onyx {
 
 // How the site is made. Times in milliseconds.
-struct KnowledgeSiteSize {
+struct RefreshSimulationSettings {
     size_t boxes = 295;
     size_t zones = 5;
     Millis drainBound = 4000;
@@ -29,23 +29,23 @@
 };
 
 // Not thread safe.
-class KnowledgeSite {
+class RefreshSimulation {
 public:
-    KnowledgeSite(KnowledgeSiteSize size, uint64_t seed);
-    ~KnowledgeSite();
+    RefreshSimulation(RefreshSimulationSettings size, uint64_t seed);
+    ~RefreshSimulation();
 
     // Plays for `time`.
     void play(Millis time);
 
     // Calls that reached the store, or would have: all but those of boxes that are cut off from it.
     size_t calls() const { return m_calls; }
-    // Reads of copies, which cost a tenth of a call.
-    size_t copies() const { return m_copies; }
+    // Reads of copyReads, which cost a tenth of a call.
+    size_t copyReads() const { return m_copyReads; }
     // Boxes that run and whose knowledge is older than `limit`, or missing, now.
     size_t olderThan(Millis limit) const;
     // The oldest knowledge that a running box had at any time since the last call of this, of those
     // that had some; in milliseconds.
-    Millis takeOldest();
+    Millis takeMaxAge();
 
     // Boxes whose calls the store refuses from now on.
     void refuse(const std::function<bool(size_t box)>& refused);
@@ -67,7 +67,7 @@
     void callStore(size_t i, int kind);
     StorePacingInputs factsOf(const Box& box) const;
     std::optional<Millis> ageOf(const Box& box) const;
-    Millis between(Millis least, Millis most);
+    Millis randomBetween(Millis least, Millis most);
 
     struct Event {
         MonoTime time;
@@ -78,7 +78,7 @@
         }
     };
 
-    KnowledgeSiteSize m_size;
+    RefreshSimulationSettings m_size;
     std::mt19937_64 m_random;
     RefreshPlannerSettings m_settings;
     StorePacingSettings m_pacing;
@@ -92,8 +92,8 @@
     MonoTime m_now{100000};
     uint64_t m_order = 0;
     size_t m_calls = 0;
-    size_t m_copies = 0;
-    Millis m_oldest = 0;
+    size_t m_copyReads = 0;
+    Millis m_maxAge = 0;
 };
 
 }  // namespace onyx
