--- a/include/freshness/PeerQueries.h
+++ b/include/freshness/PeerQueries.h
@@ -23,12 +23,12 @@
 // Not thread safe: one task owns it.
 class PeerQueries {
 public:
-    // Questions that still may be answered.
+    // Questions that still may be stateAsOf.
     static constexpr size_t kMaxOpenQueries = 64;
     // Boxes that are asked in one round: enough to meet one that the store answers when a third of
     // them is cut off.
     static constexpr size_t kPeersPerRound = 8;
-    // A box that was asked for more than ages and has not answered for this long is given up on.
+    // A box that was asked for more than ages and has not stateAsOf for this long is given up on.
     static constexpr Millis kFetchTimeoutMs = 1000;
 
     // Notes that a question is sent now and returns its number. Preconditions: times do not fall.
@@ -36,7 +36,7 @@
 
     // As of when this box knows what the answering box knew, or nothing if the answer belongs to
     // no question or reports no age. Preconditions: none.
-    std::optional<MonoTime> answered(uint64_t round, Millis age) const;
+    std::optional<MonoTime> stateAsOf(uint64_t round, Millis age) const;
 
     // The boxes to ask in the next round: all of a few, else some of them in turn.
     // Preconditions: none.
@@ -46,7 +46,7 @@
     // another fetch is under way. Preconditions: times do not fall.
     std::optional<uint64_t> startFetch(MonoTime now);
 
-    // The question `round` was answered; true if it was a fetch, and another may start.
+    // The question `round` was stateAsOf; true if it was a fetch, and another may start.
     // Preconditions: none.
     bool endFetch(uint64_t round);
 
--- a/include/freshness/RefreshPlanner.h
+++ b/include/freshness/RefreshPlanner.h
@@ -63,15 +63,15 @@
           m_started(started) {}
 
     // Called every tenth of a second or so. Preconditions: times do not fall.
-    RefreshPlan step(const RefreshInputs& around, MonoTime now);
+    RefreshPlan step(const RefreshInputs& inputs, MonoTime now);
 
     // Whether the store may be called right now, by a box whose knowledge is `age` old.
     // Preconditions: as above.
     bool mayCall(std::optional<Millis> age, MonoTime now);
 
     // Another box's knowledge is `theirs` old, this one's `own`. Preconditions: as above.
-    void replied(const std::string& from, std::optional<Millis> theirs, std::optional<Millis> own,
-                 MonoTime now);
+    void noteReply(const std::string& from, std::optional<Millis> theirs, std::optional<Millis> own,
+                   MonoTime now);
 
     // Another box asks this one in place of the store. Preconditions: as above.
     void noteFollowerQuery(MonoTime now) { m_followedAt = now; }
@@ -86,8 +86,8 @@
     }
 
 private:
-    void updateCallInputs(const RefreshInputs& around, MonoTime now);
-    bool shouldQueryPeers(const RefreshInputs& around) const;
+    void updateCallInputs(const RefreshInputs& inputs, MonoTime now);
+    bool shouldQueryPeers(const RefreshInputs& inputs) const;
 
     RefreshPlannerSettings m_settings;
     WatcherSelector m_watcherSelector;
--- a/include/freshness/WatcherSelector.h
+++ b/include/freshness/WatcherSelector.h
@@ -64,10 +64,10 @@
     // passed over. Preconditions: none.
     size_t rank() const { return m_rank; }
 
-    // The watcher `from` replied that its knowledge is `theirs` old; this box's own, whoever told
+    // The watcher `from` noteReply that its knowledge is `theirs` old; this box's own, whoever told
     // it, is `own` old; nothing where there is none. Preconditions: as for choose().
-    void replied(std::string_view from, std::optional<Millis> theirs, std::optional<Millis> own,
-                 MonoTime now);
+    void noteReply(std::string_view from, std::optional<Millis> theirs, std::optional<Millis> own,
+                   MonoTime now);
 
 private:
     std::vector<std::string> watchersOf(std::span<const std::string> zoneOrder) const;
--- a/include/membership/BoxDirectory.h
+++ b/include/membership/BoxDirectory.h
@@ -3,7 +3,7 @@
 // alike.
 //
 // Newcomers are passed on once, so that the control bytes of a large site grow with its changes and
-// not with its links.
+// not with its dials.
 //
 // A box of a large site hears most others through boxes between only. Each box says now and then
 // how long ago each box that it knows was heard of itself, so that one that lives stays known to
@@ -40,7 +40,7 @@
 class BoxDirectory {
 public:
     // In milliseconds. A sighting of a box is passed on when it is so much newer than the one that
-    // was passed on last. 340 boxes cost 340 x 6 bytes x 32 links in this time, 360 bytes a second.
+    // was passed on last. 340 boxes cost 340 x 6 bytes x 32 dials in this time, 360 bytes a second.
     static constexpr Millis kSightingPeriodMs = 180000;
     // In milliseconds. A box that was not heard of for so long is forgotten. Sightings take some
     // ten hops on a site of 340 boxes, a part of kSightingPeriodMs each.
@@ -116,7 +116,7 @@
     Entry& upsert(const KnownBox& box, MonoTime now);
     void rebuildRing();
     void insertIntoRing(const std::string& address);
-    bool links(size_t from, size_t to) const;
+    bool dials(size_t from, size_t to) const;
 
     KnownBox m_self;
     size_t m_maxDialed;
--- a/src/freshness/PeerQueries.cpp
+++ b/src/freshness/PeerQueries.cpp
@@ -10,7 +10,7 @@
     return m_round;
 }
 
-std::optional<MonoTime> PeerQueries::answered(uint64_t round, Millis age) const {
+std::optional<MonoTime> PeerQueries::stateAsOf(uint64_t round, Millis age) const {
     const auto it = m_sentAt.find(round);
     if (it == m_sentAt.end() || age < 0) {
         return std::nullopt;
--- a/src/freshness/RefreshPlanner.cpp
+++ b/src/freshness/RefreshPlanner.cpp
@@ -11,48 +11,48 @@
 
 }  // namespace
 
-RefreshPlan RefreshPlanner::step(const RefreshInputs& around, MonoTime now) {
+RefreshPlan RefreshPlanner::step(const RefreshInputs& inputs, MonoTime now) {
     const auto linked = [&](const std::string& address) {
-        return std::binary_search(around.linked.begin(), around.linked.end(), address);
+        return std::binary_search(inputs.linked.begin(), inputs.linked.end(), address);
     };
     RefreshPlan step;
-    step.watcher = m_watcherSelector.choose(around.zoneOrder, around.self, linked, now);
-    step.keepLinked = m_watcherSelector.preferred(around.zoneOrder, around.self);
-    updateCallInputs(around, now);
+    step.watcher = m_watcherSelector.choose(inputs.zoneOrder, inputs.self, linked, now);
+    step.keepLinked = m_watcherSelector.preferred(inputs.zoneOrder, inputs.self);
+    updateCallInputs(inputs, now);
     step.duty = m_storeCallPolicy.decide(m_callInputs, now);
     if (!step.watcher.empty() && now - m_watcherQueriedAt >= m_settings.followPeriod) {
         m_watcherQueriedAt = now;
         step.queriesWatcher = true;
     }
-    const Millis period = around.age ? kPeerQueryPeriodMs : kFirstPeerQueryPeriodMs;
-    if (shouldQueryPeers(around) && now - m_peersQueriedAt >= period) {
+    const Millis period = inputs.age ? kPeerQueryPeriodMs : kFirstPeerQueryPeriodMs;
+    if (shouldQueryPeers(inputs) && now - m_peersQueriedAt >= period) {
         m_peersQueriedAt = now;
         step.queriesPeers = true;
     }
     return step;
 }
 
-void RefreshPlanner::updateCallInputs(const RefreshInputs& around, MonoTime now) {
+void RefreshPlanner::updateCallInputs(const RefreshInputs& inputs, MonoTime now) {
     const bool discovered = now - m_started >= m_settings.discoveryTime;
-    const bool fewBoxes = around.zoneOrder.size() < m_settings.delegation.minBoxes;
+    const bool fewBoxes = inputs.zoneOrder.size() < m_settings.delegation.minBoxes;
     m_callInputs.isWatcher = m_watcherSelector.isWatcher();
     m_callInputs.discovered = discovered;
     m_callInputs.inSmallZone = discovered && fewBoxes;
-    m_callInputs.isSeed = around.isSeed;
-    m_callInputs.idle = around.idle;
+    m_callInputs.isSeed = inputs.isSeed;
+    m_callInputs.idle = inputs.idle;
     m_callInputs.rank = m_watcherSelector.rank();
-    m_callInputs.links = around.linked.size();
-    m_callInputs.boxes = around.boxes;
-    m_callInputs.age = around.age;
+    m_callInputs.links = inputs.linked.size();
+    m_callInputs.boxes = inputs.boxes;
+    m_callInputs.age = inputs.age;
 }
 
 // Where every box watches, others are asked once the store does not answer; in large zones already
 // when knowledge is older than a watcher lets it get, by the watcher itself too.
-bool RefreshPlanner::shouldQueryPeers(const RefreshInputs& around) const {
+bool RefreshPlanner::shouldQueryPeers(const RefreshInputs& inputs) const {
     if (m_callInputs.inSmallZone) {
-        return around.overdue;
+        return inputs.overdue;
     }
-    return around.overdue || !around.age || *around.age > m_settings.duty.peerQueryAge;
+    return inputs.overdue || !inputs.age || *inputs.age > m_settings.duty.peerQueryAge;
 }
 
 bool RefreshPlanner::mayCall(std::optional<Millis> age, MonoTime now) {
@@ -60,10 +60,10 @@
     return m_storeCallPolicy.decide(m_callInputs, now).calls;
 }
 
-void RefreshPlanner::replied(const std::string& from, std::optional<Millis> theirs,
-                             std::optional<Millis> own, MonoTime now) {
+void RefreshPlanner::noteReply(const std::string& from, std::optional<Millis> theirs,
+                               std::optional<Millis> own, MonoTime now) {
     m_storeCallPolicy.noteReply(from, theirs, now);
-    m_watcherSelector.replied(from, theirs, own, now);
+    m_watcherSelector.noteReply(from, theirs, own, now);
 }
 
 bool RefreshPlanner::watchesForOthers(MonoTime now) const {
--- a/src/freshness/WatcherSelector.cpp
+++ b/src/freshness/WatcherSelector.cpp
@@ -92,8 +92,8 @@
 
 // While nobody has young knowledge the store is in trouble, and the next in order would do no
 // better.
-void WatcherSelector::replied(std::string_view from, std::optional<Millis> theirs,
-                              std::optional<Millis> own, MonoTime now) {
+void WatcherSelector::noteReply(std::string_view from, std::optional<Millis> theirs,
+                                std::optional<Millis> own, MonoTime now) {
     if (from != m_watcher || m_watcher.empty()) {
         return;
     }
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -194,7 +194,7 @@
     const EvacuationChanges orders{true, reply.evacuations_revision, reply.evacuated, {}};
     const bool isBehind = orders.revision < m_evacuations.orders().revision();
     m_evacuations.apply(orders, false, "peer", ReadClocks().mono);
-    const auto asOf = m_knowledge.answered(reply.round, reply.evacuations_age_ms);
+    const auto asOf = m_knowledge.stateAsOf(reply.round, reply.evacuations_age_ms);
     if (asOf && !isBehind) {
         m_evacuations.confirm(*asOf);
     }
@@ -203,17 +203,17 @@
 void PeerSync::onReply(const std::string& from, const wire::KnowledgeReplyT& reply) {
     const bool askedChanges = m_knowledge.endFetch(reply.round) || from == m_watcher;
     takeEvacuations(from, reply);
-    const auto asOf = m_knowledge.answered(reply.round, reply.age_ms);
+    const auto asOf = m_knowledge.stateAsOf(reply.round, reply.age_ms);
     if (asOf) {
         apply({reply.content, reply.revision, *asOf, ChangesOf(reply), reply.upstreams_revision,
-               m_knowledge.answered(reply.round, reply.upstreams_age_ms)});
+               m_knowledge.stateAsOf(reply.round, reply.upstreams_age_ms)});
     }
     const MonoTime now = ReadClocks().mono;
     std::optional<Millis> theirs;
     if (reply.age_ms >= 0 && reply.upstreams_age_ms >= 0) {
         theirs = std::max(reply.age_ms, reply.upstreams_age_ms);
     }
-    m_spread.replied(from, theirs, ages(now).older(), now);
+    m_spread.noteReply(from, theirs, ages(now).older(), now);
     if (!m_duty.calls || isOverdue(now)) {
         catchUp(from, reply, askedChanges);
     }
--- a/src/membership/BoxDirectory.cpp
+++ b/src/membership/BoxDirectory.cpp
@@ -120,7 +120,7 @@
 }
 
 // Whether the box at one place of the ring dials the one at another.
-bool BoxDirectory::links(size_t from, size_t to) const {
+bool BoxDirectory::dials(size_t from, size_t to) const {
     const size_t distance = (to + m_ring.size() - from) % m_ring.size();
     return distance >= 1 && distance <= m_maxDialed;
 }
@@ -134,7 +134,7 @@
         }
         // Where two boxes would dial each other, the one with the smaller address does.
         const bool isOurs =
-            links(m_selfIndex, i) && (m_self.address < address || !links(i, m_selfIndex));
+            dials(m_selfIndex, i) && (m_self.address < address || !dials(i, m_selfIndex));
         if (hasNoLinks || isOurs) {
             dialed.push_back(address);
         }
@@ -149,7 +149,7 @@
         return false;
     }
     const auto index = static_cast<size_t>(it - m_ring.begin());
-    return links(m_selfIndex, index) || links(index, m_selfIndex);
+    return dials(m_selfIndex, index) || dials(index, m_selfIndex);
 }
 
 double BoxDirectory::neighbourShare() const {
--- a/tests/FreshnessTest.cpp
+++ b/tests/FreshnessTest.cpp
@@ -75,9 +75,9 @@
 TEST_CASE("A peer's answer counts from the question, less the age that it tells") {
     PeerQueries peers;
     const uint64_t round = peers.ask({1000});
-    CHECK(peers.answered(round, 300) == MonoTime{700});
-    CHECK_FALSE(peers.answered(round, -1).has_value());
-    CHECK_FALSE(peers.answered(round + 1, 0).has_value());
+    CHECK(peers.stateAsOf(round, 300) == MonoTime{700});
+    CHECK_FALSE(peers.stateAsOf(round, -1).has_value());
+    CHECK_FALSE(peers.stateAsOf(round + 1, 0).has_value());
 }
 
 TEST_CASE("Questions that were never answered are forgotten") {
@@ -86,7 +86,7 @@
     for (size_t i = 0; i < PeerQueries::kMaxOpenQueries; ++i) {
         peers.ask({2});
     }
-    CHECK_FALSE(peers.answered(first, 0).has_value());
+    CHECK_FALSE(peers.stateAsOf(first, 0).has_value());
 }
 
 // Found in the logs of a site of 85 boxes: a box that had lost the store got the whole
@@ -95,7 +95,7 @@
     PeerQueries peers;
     const auto first = peers.startFetch({1000});
     REQUIRE(first.has_value());
-    CHECK(peers.answered(*first, 100) == MonoTime{900});
+    CHECK(peers.stateAsOf(*first, 100) == MonoTime{900});
     CHECK_FALSE(peers.startFetch({1001}).has_value());
     peers.endFetch(peers.ask({1001}));
     CHECK_FALSE(peers.startFetch({1002}).has_value());
--- a/tests/RefreshSimulation.cpp
+++ b/tests/RefreshSimulation.cpp
@@ -69,7 +69,7 @@
     m_events.push({m_now + delay, ++m_order, std::move(action)});
 }
 
-void RefreshSimulation::play(Millis time) {
+void RefreshSimulation::run(Millis time) {
     const MonoTime until = m_now + time;
     while (!m_events.empty() && m_events.top().time <= until) {
         const Event event = m_events.top();
@@ -183,7 +183,7 @@
                     asOf = std::max(asOf.value_or(MonoTime{}), sent - *age);
                 }
             }
-            box.planner->replied(m_names[to], age, ageOf(box), m_now);
+            box.planner->noteReply(m_names[to], age, ageOf(box), m_now);
         });
     });
 }
--- a/tests/RefreshSimulation.h
+++ b/tests/RefreshSimulation.h
@@ -35,7 +35,7 @@
     ~RefreshSimulation();
 
     // Plays for `time`.
-    void play(Millis time);
+    void run(Millis time);
 
     // Calls that reached the store, or would have: all but those of boxes that are cut off from it.
     size_t calls() const { return m_calls; }
--- a/tests/WatcherSelectorTest.cpp
+++ b/tests/WatcherSelectorTest.cpp
@@ -67,9 +67,9 @@
     const auto zone = Zone(8);
     WatcherSelector box{WatcherSelectorSettings{}};
     CHECK(box.choose(zone, zone.back(), kAllLinked, kStart) == zone.front());
-    box.replied(zone.front(), 4000, 4000, kStart);
+    box.noteReply(zone.front(), 4000, 4000, kStart);
     CHECK(box.choose(zone, zone.back(), kAllLinked, kStart + 333) == zone.front());
-    box.replied(zone.front(), 300, 300, kStart + 333);
+    box.noteReply(zone.front(), 300, 300, kStart + 333);
     CHECK_FALSE(box.isWatcher());
     WatcherSelector watcher{WatcherSelectorSettings{}};
     CHECK(watcher.choose(zone, zone.front(), kAllLinked, kStart).empty());
@@ -82,10 +82,10 @@
     const std::optional<Millis> old = GENERATE(std::optional<Millis>{1300}, std::nullopt);
     const WatcherSelectorSettings settings;
     Follower box;
-    box.delegation.replied(box.zone.front(), old, 100, kStart);
+    box.delegation.noteReply(box.zone.front(), old, 100, kStart);
     CHECK(box.ask(kStart + settings.linkTimeout - 1) == box.zone.front());
     const MonoTime now = kStart + settings.linkTimeout;
-    box.delegation.replied(box.zone.front(), old, 100, now);
+    box.delegation.noteReply(box.zone.front(), old, 100, now);
     CHECK(box.ask(now) == box.zone[1]);
     CHECK(box.ask(now + settings.passOverTime - 1) == box.zone[1]);
     CHECK(box.ask(now + settings.passOverTime) == box.zone.front());
@@ -96,16 +96,16 @@
     const std::string first = Zone(8).front();
     Follower box;
     for (Millis t = 0; t < 3 * settings.linkTimeout; t += 100) {
-        box.delegation.replied(first, 5000, 5000, kStart + t);
+        box.delegation.noteReply(first, 5000, 5000, kStart + t);
         CHECK(box.ask(kStart + t) == first);
     }
     const MonoTime later = kStart + 3 * settings.linkTimeout;
-    box.delegation.replied(first, 5000, 100, later);
-    box.delegation.replied(first, 200, 100, later + 100);
-    box.delegation.replied(first, 5000, 100, later + settings.linkTimeout);
+    box.delegation.noteReply(first, 5000, 100, later);
+    box.delegation.noteReply(first, 200, 100, later + 100);
+    box.delegation.noteReply(first, 5000, 100, later + settings.linkTimeout);
     CHECK(box.ask(later + settings.linkTimeout) == first);
     // What another box says is no word on the watcher.
-    box.delegation.replied("box-107", 5000, 100, later + 3 * settings.linkTimeout);
+    box.delegation.noteReply("box-107", 5000, 100, later + 3 * settings.linkTimeout);
     CHECK(box.ask(later + 3 * settings.linkTimeout) == first);
 }
 
