--- a/include/freshness/RefreshPlanner.h
+++ b/include/freshness/RefreshPlanner.h
@@ -17,8 +17,8 @@
 
 // All times in milliseconds.
 struct RefreshPlannerSettings {
-    WatcherSelectorSettings delegation;
-    StoreCallSettings duty;
+    WatcherSelectorSettings watcherSelector;
+    StoreCallSettings storeCall;
     Millis followPeriod = 333;  // The watcher is asked this often.
     // A box knows its zone's boxes this long after its start. With two periods of dialing (1 s) 281
     // of 295 boxes that started together took their zone for a small one, and all watched.
@@ -39,7 +39,7 @@
 
 // What is to be done now.
 struct RefreshPlan {
-    StoreCallDecision duty;
+    StoreCallDecision storeCall;
     std::string watcher;     // The box that is asked in place of the store; empty: none.
     std::string keepLinked;  // A box to keep a link to; empty: none.
     bool queriesWatcher = false;
@@ -58,8 +58,8 @@
     // `seed`: of random waits. Preconditions: none.
     RefreshPlanner(const RefreshPlannerSettings& settings, MonoTime started, uint64_t seed)
         : m_settings(settings),
-          m_watcherSelector(settings.delegation),
-          m_storeCallPolicy(settings.duty, started, seed),
+          m_watcherSelector(settings.watcherSelector),
+          m_storeCallPolicy(settings.storeCall, started, seed),
           m_started(started) {}
 
     // Called every tenth of a second or so. Preconditions: times do not fall.
--- a/include/gateway/GatewaySettings.h
+++ b/include/gateway/GatewaySettings.h
@@ -36,8 +36,8 @@
     AdmissionRules admission;
     StorePacingSettings pacing;
     Millis storeTimeout = 1500;  // For a store's answer, beyond the time that it may be held.
-    WatcherSelectorSettings delegation;
-    StoreCallSettings duty;
+    WatcherSelectorSettings watcherSelector;
+    StoreCallSettings storeCall;
     // An evacuated zone gets no requests after this; 0: no zone is ever evacuated here.
     Millis evacuationBound = 0;
 
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -75,7 +75,7 @@
     };
 
     void step(MonoTime now);
-    void noteDuty(StoreCallDecision duty, MonoTime now);
+    void noteDuty(StoreCallDecision storeCall, MonoTime now);
     void askWatcher(MonoTime now);
     void askOthers(MonoTime now);
     void catchUp(const std::string& from, const wire::KnowledgeReplyT& reply, bool askedChanges);
--- a/src/freshness/RefreshPlanner.cpp
+++ b/src/freshness/RefreshPlanner.cpp
@@ -19,7 +19,7 @@
     step.watcher = m_watcherSelector.choose(inputs.zoneOrder, inputs.self, linked, now);
     step.keepLinked = m_watcherSelector.preferred(inputs.zoneOrder, inputs.self);
     updateCallInputs(inputs, now);
-    step.duty = m_storeCallPolicy.decide(m_callInputs, now);
+    step.storeCall = m_storeCallPolicy.decide(m_callInputs, now);
     if (!step.watcher.empty() && now - m_watcherQueriedAt >= m_settings.followPeriod) {
         m_watcherQueriedAt = now;
         step.queriesWatcher = true;
@@ -34,7 +34,7 @@
 
 void RefreshPlanner::updateCallInputs(const RefreshInputs& inputs, MonoTime now) {
     const bool discovered = now - m_started >= m_settings.discoveryTime;
-    const bool fewBoxes = inputs.zoneOrder.size() < m_settings.delegation.minBoxes;
+    const bool fewBoxes = inputs.zoneOrder.size() < m_settings.watcherSelector.minBoxes;
     m_callInputs.isWatcher = m_watcherSelector.isWatcher();
     m_callInputs.discovered = discovered;
     m_callInputs.inSmallZone = discovered && fewBoxes;
@@ -52,7 +52,7 @@
     if (m_callInputs.inSmallZone) {
         return inputs.overdue;
     }
-    return inputs.overdue || !inputs.age || *inputs.age > m_settings.duty.peerQueryAge;
+    return inputs.overdue || !inputs.age || *inputs.age > m_settings.storeCall.peerQueryAge;
 }
 
 bool RefreshPlanner::mayCall(std::optional<Millis> age, MonoTime now) {
--- a/src/gateway/GatewaySettings.cpp
+++ b/src/gateway/GatewaySettings.cpp
@@ -60,21 +60,23 @@
 // When the store is called, and which boxes call it for others.
 void ReadPacing(SettingsReader& reader, GatewaySettings& settings) {
     StorePacingSettings& pacing = settings.pacing;
-    WatcherSelectorSettings& delegation = settings.delegation;
+    WatcherSelectorSettings& watcherSelector = settings.watcherSelector;
     const Millis wait = ConfigurationWait(settings.admission.freshLimit);
     pacing.configurationWait = reader.number("store.watch_ms", wait, 10, 30000);
     pacing.upstreamWait = reader.number("store.upstream_watch_ms", pacing.upstreamWait, 10, 30000);
     pacing.pausePerBox = reader.number("store.rest_ms_per_box", pacing.pausePerBox, 0, 1000);
     const Millis drainBound = reader.number("store.leaving_bound_ms", kDefaultDrainBound, 0, kDay);
     const FollowerBounds bounds = FitFollowers(drainBound, settings.admission.freshLimit, pacing);
-    settings.duty.peerQueryAge = delegation.maxFreshAge = bounds.peerQueryAge;
-    settings.duty.maxAge = bounds.maxAge;
-    delegation.boxesPerWatcher =
-        ReadCount(reader, "followers.boxes_per_watcher", delegation.boxesPerWatcher, 1);
-    delegation.minBoxes = ReadCount(reader, "followers.least_boxes", delegation.minBoxes, 2);
-    delegation.passOverTime = reader.number("followers.alone_ms", delegation.passOverTime, 0, kDay);
+    settings.storeCall.peerQueryAge = watcherSelector.maxFreshAge = bounds.peerQueryAge;
+    settings.storeCall.maxAge = bounds.maxAge;
+    watcherSelector.boxesPerWatcher =
+        ReadCount(reader, "followers.boxes_per_watcher", watcherSelector.boxesPerWatcher, 1);
+    watcherSelector.minBoxes =
+        ReadCount(reader, "followers.least_boxes", watcherSelector.minBoxes, 2);
+    watcherSelector.passOverTime =
+        reader.number("followers.alone_ms", watcherSelector.passOverTime, 0, kDay);
     if (!bounds.leavesTime) {
-        delegation.minBoxes = std::numeric_limits<size_t>::max();  // Every box watches.
+        watcherSelector.minBoxes = std::numeric_limits<size_t>::max();  // Every box watches.
     }
 }
 
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -19,8 +19,8 @@
 
 RefreshPlannerSettings SpreadSettings(const GatewaySettings& settings) {
     RefreshPlannerSettings spread;
-    spread.delegation = settings.delegation;
-    spread.duty = settings.duty;
+    spread.watcherSelector = settings.watcherSelector;
+    spread.storeCall = settings.storeCall;
     spread.followPeriod = settings.pacing.followPeriod;
     return spread;
 }
@@ -57,7 +57,7 @@
     const RefreshPlan step = m_spread.step(around, now);
     m_watcher = step.watcher;
     m_mesh.keepLinked(step.keepLinked);
-    noteDuty(step.duty, now);
+    noteDuty(step.storeCall, now);
     if (step.queriesWatcher) {
         askWatcher(now);
     }
@@ -80,17 +80,17 @@
     return seeds.empty() || std::any_of(seeds.begin(), seeds.end(), isSelf);
 }
 
-void PeerSync::noteDuty(StoreCallDecision duty, MonoTime now) {
-    if (duty == m_duty) {
+void PeerSync::noteDuty(StoreCallDecision storeCall, MonoTime now) {
+    if (storeCall == m_duty) {
         return;
     }
     const auto age = ages(now).older();
-    logEvent(Event::kFollowing, {{"following", duty.calls ? "no" : "yes"},
-                                 {"why", std::string(StoreCallReasonName(duty.reason))},
+    logEvent(Event::kFollowing, {{"following", storeCall.calls ? "no" : "yes"},
+                                 {"why", std::string(StoreCallReasonName(storeCall.reason))},
                                  {"watcher", m_watcher},
                                  {"knowledge_age_ms", age ? std::to_string(*age) : "none"}});
-    m_duty = duty;
-    if (duty.calls) {
+    m_duty = storeCall;
+    if (storeCall.calls) {
         m_store.wake();
     }
 }
--- a/tests/RefreshSimulation.cpp
+++ b/tests/RefreshSimulation.cpp
@@ -35,7 +35,8 @@
     const FollowerBounds bounds = FitFollowers(size.drainBound, size.freshLimit, m_pacing);
     m_pacing.configurationWait = ConfigurationWait(size.freshLimit);
     m_settings.followPeriod = m_pacing.followPeriod;
-    m_settings.storeCall.peerQueryAge = m_settings.delegation.maxFreshAge = bounds.peerQueryAge;
+    m_settings.storeCall.peerQueryAge = m_settings.watcherSelector.maxFreshAge =
+        bounds.peerQueryAge;
     m_settings.storeCall.maxAge = bounds.maxAge;
     for (size_t i = 0; i < size.boxes; ++i) {
         m_names.push_back("10.0.0." + std::to_string(1000 + i) + ":1");
--- a/tests/StoreCallPolicyTest.cpp
+++ b/tests/StoreCallPolicyTest.cpp
@@ -23,82 +23,82 @@
     return facts;
 }
 
-void AllSay(StoreCallPolicy& duty, std::optional<Millis> age, MonoTime now) {
+void AllSay(StoreCallPolicy& policy, std::optional<Millis> age, MonoTime now) {
     for (int i = 0; i < 8; ++i) {
-        duty.noteReply("box-" + std::to_string(i), age, now);
+        policy.noteReply("box-" + std::to_string(i), age, now);
     }
 }
 
 }  // namespace
 
 TEST_CASE("A box whose knowledge is young calls the store only where it watches for others") {
-    StoreCallPolicy duty(StoreCallSettings{}, kStart, 1);
+    StoreCallPolicy policy(StoreCallSettings{}, kStart, 1);
     StoreCallInputs facts = Ordinary(kYoung);
-    CHECK(duty.decide(facts, kStart) == StoreCallDecision{false, StoreCallReason::kYoung});
+    CHECK(policy.decide(facts, kStart) == StoreCallDecision{false, StoreCallReason::kYoung});
     facts.inSmallZone = true;
-    CHECK(duty.decide(facts, kStart) == StoreCallDecision{true, StoreCallReason::kSmallZone});
+    CHECK(policy.decide(facts, kStart) == StoreCallDecision{true, StoreCallReason::kSmallZone});
     facts.isWatcher = true;
-    CHECK(duty.decide(facts, kStart) == StoreCallDecision{true, StoreCallReason::kWatcher});
+    CHECK(policy.decide(facts, kStart) == StoreCallDecision{true, StoreCallReason::kWatcher});
 }
 
 TEST_CASE("A box that just started waits for others' answers, a seed does not") {
     const StoreCallSettings settings;
-    StoreCallPolicy duty(settings, kStart, 1);
+    StoreCallPolicy policy(settings, kStart, 1);
     StoreCallInputs facts = Ordinary(std::nullopt);
-    CHECK(duty.decide(facts, kStart + settings.minStartWait - 1).reason ==
+    CHECK(policy.decide(facts, kStart + settings.minStartWait - 1).reason ==
           StoreCallReason::kStarting);
     // Where nobody could be served, it waits for longer.
     facts.idle = true;
-    CHECK_FALSE(duty.decide(facts, kStart + settings.maxStartWait).calls);
-    CHECK(duty.decide(facts, kStart + settings.maxStartWait * settings.idleFactor).calls);
+    CHECK_FALSE(policy.decide(facts, kStart + settings.maxStartWait).calls);
+    CHECK(policy.decide(facts, kStart + settings.maxStartWait * settings.idleFactor).calls);
     facts.idle = false;
     // Others that know nothing either, after the loss of all boxes, keep it from nothing.
-    AllSay(duty, std::nullopt, kStart);
-    CHECK(duty.decide(facts, kStart + settings.maxStartWait) ==
+    AllSay(policy, std::nullopt, kStart);
+    CHECK(policy.decide(facts, kStart + settings.maxStartWait) ==
           StoreCallDecision{true, StoreCallReason::kFirst});
     // Where the store answers nobody it is tried in turn after a while.
     const MonoTime later = kStart + settings.maxStartWait + settings.freeCallPeriod;
-    AllSay(duty, std::nullopt, later);
-    CHECK(duty.decide(facts, later).reason == StoreCallReason::kAwaitsTurn);
+    AllSay(policy, std::nullopt, later);
+    CHECK(policy.decide(facts, later).reason == StoreCallReason::kAwaitsTurn);
     facts.isSeed = true;
-    CHECK(duty.decide(facts, kStart).calls);
+    CHECK(policy.decide(facts, kStart).calls);
     // Until all know who watches, the seeds do.
     facts.age = kYoung;
-    CHECK(duty.decide(facts, kStart).calls);
+    CHECK(policy.decide(facts, kStart).calls);
     facts.discovered = true;
-    CHECK_FALSE(duty.decide(facts, kStart).calls);
+    CHECK_FALSE(policy.decide(facts, kStart).calls);
 }
 
 TEST_CASE("A box that nobody answers calls the store as soon as its knowledge is old") {
     const StoreCallSettings settings;
-    StoreCallPolicy duty(settings, kStart, 1);
-    CHECK_FALSE(duty.decide(Ordinary(settings.maxAge), kStart).calls);
-    CHECK(duty.decide(Ordinary(settings.maxAge + 1), kStart).calls);
+    StoreCallPolicy policy(settings, kStart, 1);
+    CHECK_FALSE(policy.decide(Ordinary(settings.maxAge), kStart).calls);
+    CHECK(policy.decide(Ordinary(settings.maxAge + 1), kStart).calls);
     StoreCallInputs cutOff = Ordinary(kYoung);
     cutOff.links = 0;
-    CHECK(duty.decide(cutOff, kStart) == StoreCallDecision{true, StoreCallReason::kAlone});
+    CHECK(policy.decide(cutOff, kStart) == StoreCallDecision{true, StoreCallReason::kAlone});
     // What was said long ago is no word on the store as it is now.
-    AllSay(duty, kOld, kStart);
-    CHECK_FALSE(duty.decide(Ordinary(kOld), kStart).calls);
-    CHECK(duty.decide(Ordinary(kOld), kStart + 2000) ==
+    AllSay(policy, kOld, kStart);
+    CHECK_FALSE(policy.decide(Ordinary(kOld), kStart).calls);
+    CHECK(policy.decide(Ordinary(kOld), kStart + 2000) ==
           StoreCallDecision{true, StoreCallReason::kAlone});
 }
 
 TEST_CASE("Boxes that know young things are no witnesses of trouble") {
-    StoreCallPolicy duty(StoreCallSettings{}, kStart, 1);
-    AllSay(duty, kOld, kStart);
-    AllSay(duty, kYoung, kStart);
-    CHECK(duty.decide(Ordinary(kOld), kStart).reason == StoreCallReason::kAlone);
+    StoreCallPolicy policy(StoreCallSettings{}, kStart, 1);
+    AllSay(policy, kOld, kStart);
+    AllSay(policy, kYoung, kStart);
+    CHECK(policy.decide(Ordinary(kOld), kStart).reason == StoreCallReason::kAlone);
 }
 
 TEST_CASE("The next in order try at once where the watchers know nothing young") {
     const StoreCallSettings settings;
     for (size_t rank = 0; rank < 10; ++rank) {
-        StoreCallPolicy duty(settings, kStart, 7);
-        AllSay(duty, kOld, kStart);
+        StoreCallPolicy policy(settings, kStart, 7);
+        AllSay(policy, kOld, kStart);
         StoreCallInputs facts = Ordinary(kOld);
         facts.rank = rank;
-        const bool deputy = duty.decide(facts, kStart).reason == StoreCallReason::kDeputy;
+        const bool deputy = policy.decide(facts, kStart).reason == StoreCallReason::kDeputy;
         CHECK(deputy == (rank < settings.deputies));
     }
 }
@@ -112,12 +112,12 @@
     size_t tries = 0;
     size_t boxesThatTried = 0;
     for (uint64_t box = 0; box < kBoxes; ++box) {
-        StoreCallPolicy duty(StoreCallSettings{}, kStart, box);
+        StoreCallPolicy policy(StoreCallSettings{}, kStart, box);
         bool tried = false;
         bool calling = false;
         for (Millis t = 0; t < kOutage; t += kStep) {
-            AllSay(duty, kOld + t, kStart + t);
-            const bool calls = duty.decide(Ordinary(kOld + t), kStart + t).calls;
+            AllSay(policy, kOld + t, kStart + t);
+            const bool calls = policy.decide(Ordinary(kOld + t), kStart + t).calls;
             tries += calls && !calling ? 1 : 0;
             calling = calls;
             tried = tried || calls;
@@ -132,11 +132,11 @@
 
 TEST_CASE("Trouble that is over is forgotten: the next one begins with a new turn") {
     const StoreCallSettings settings;
-    StoreCallPolicy duty(settings, kStart, 3);
-    AllSay(duty, kOld, kStart);
-    CHECK(duty.decide(Ordinary(kOld), kStart).reason == StoreCallReason::kAwaitsTurn);
-    CHECK(duty.decide(Ordinary(kYoung), kStart + 100).reason == StoreCallReason::kYoung);
+    StoreCallPolicy policy(settings, kStart, 3);
+    AllSay(policy, kOld, kStart);
+    CHECK(policy.decide(Ordinary(kOld), kStart).reason == StoreCallReason::kAwaitsTurn);
+    CHECK(policy.decide(Ordinary(kYoung), kStart + 100).reason == StoreCallReason::kYoung);
     const MonoTime later = kStart + 100000;
-    AllSay(duty, kOld, later);
-    CHECK(duty.decide(Ordinary(kOld), later).reason == StoreCallReason::kAwaitsTurn);
+    AllSay(policy, kOld, later);
+    CHECK(policy.decide(Ordinary(kOld), later).reason == StoreCallReason::kAwaitsTurn);
 }
