--- a/include/freshness/PeerQueries.h
+++ b/include/freshness/PeerQueries.h
@@ -1,12 +1,12 @@
-// Decides which other boxes are asked for what the store has, what their answers count for, and
-// when something is fetched from one: while the store does not answer this box, a box that it does
-// answer may say how old its own configuration and list are.
+// Decides which peers are queried for the state of the store, how their replies are counted, and
+// when data is fetched from one: while the store does not respond to this box, a box that it
+// responds to can report the age of its own configuration and upstream list.
 //
-// An answer counts from when the question was sent, less the age that it reports. A message that
-// nobody asked for proves nothing: it may have been on its way for any time.
+// A reply is valid as of the time at which the query was sent, less the age that it reports. A
+// message without a query proves nothing: it may have been in transit for any length of time.
 //
-// Most questions ask for ages and revisions only. What is newer somewhere is fetched from one box
-// at a time: a configuration can be larger than what a box's line carries in a second.
+// Most queries ask for ages and revisions only. Newer data is fetched from one box at a time: a
+// configuration can be larger than what the network connection of a box carries in a second.
 #pragma once
 
 #include "include/base/Time.h"
@@ -20,30 +20,31 @@
 
 namespace onyx {
 
-// Not thread safe: one task owns it.
+// Tracks the queries of one box to its peers. Not thread safe: one task owns it.
 class PeerQueries {
 public:
     // Questions that still may be stateAsOf.
     static constexpr size_t kMaxOpenQueries = 64;
-    // Boxes that are asked in one round: enough to meet one that the store answers when a third of
-    // them is cut off.
+    // Peers that are queried in one round: enough to reach one that the store responds to when a
+    // third of the boxes is cut off.
     static constexpr size_t kPeersPerRound = 8;
     // A box that was asked for more than ages and has not stateAsOf for this long is given up on.
     static constexpr Millis kFetchTimeoutMs = 1000;
 
-    // Notes that a question is sent now and returns its number. Preconditions: times do not fall.
+    // Notes that a query is sent now and returns its number.
+    // Preconditions: `now` does not decrease from call to call.
     uint64_t ask(MonoTime now);
 
-    // As of when this box knows what the answering box knew, or nothing if the answer belongs to
-    // no question or reports no age. Preconditions: none.
+    // The time as of which the state of the replying box is valid, or nothing if the reply belongs
+    // to no open query or reports no age (`age` < 0). Preconditions: none.
     std::optional<MonoTime> stateAsOf(uint64_t round, Millis age) const;
 
-    // The boxes to ask in the next round: all of a few, else some of them in turn.
-    // Preconditions: none.
+    // The peers to query in the next round: all if there are at most kPeersPerRound, else that many
+    // in rotation. Preconditions: none.
     std::vector<std::string> nextPeers(const std::vector<std::string>& peers);
 
-    // Begins to fetch from a box what it has newer: the number of that question, or nothing while
-    // another fetch is under way. Preconditions: times do not fall.
+    // Starts a fetch of newer data from a peer and returns the number of its query, or nothing
+    // while another fetch is in progress. Preconditions: as for ask().
     std::optional<uint64_t> startFetch(MonoTime now);
 
     // The question `round` was stateAsOf; true if it was a fetch, and another may start.
@@ -54,7 +55,7 @@
     uint64_t m_round = 0;
     std::map<uint64_t, MonoTime> m_sentAt;
     size_t m_nextPeer = 0;
-    std::optional<uint64_t> m_fetchRound;  // Its question, while one is under way.
+    std::optional<uint64_t> m_fetchRound;  // Query of the fetch in progress.
 };
 
 }  // namespace onyx
