--- a/include/freshness/StorePacing.h
+++ b/include/freshness/StorePacing.h
@@ -1,15 +1,15 @@
-// Decides how a box that calls the store paces its calls: how long a watch is held, how long it
-// pauses after changes and after a failure, and when the store's answers are overdue. Whether it
-// calls at all: StoreCallPolicy.
+// Decides how a box paces its calls to the store: how long a watch is held, how long the box pauses
+// after changes and after a failure, and when the responses of the store are overdue.
+// StoreCallPolicy decides whether the box calls the store at all.
 //
-// Inputs: what others rely on this box for, how many boxes there are, whether it can serve without
-// the store, the ages of what it knows; all times in milliseconds.
+// Inputs: what peers rely on this box for, the number of boxes, whether the box can serve without
+// the store, the ages of its state; all times in milliseconds.
 //
-// The reason: the store counts every call of every box, and a waiting watch is a call. A change
-// that ends the watches of all boxes costs a call a box, so boxes pause where changes come together
-// and where another box will tell them; and the bounds on revoked keys and on draining upstreams
-// limit every pause. On a quiet day of a site of 87 boxes these rules together brought the calls
-// from 0.069 of the operators' credit to 0.026.
+// The store counts every call of every box, and a pending watch is a call. A change that ends the
+// watches of all boxes costs one call for each box, so a box pauses where several changes arrive
+// together and where a peer will forward them. The bounds on revoked keys and on draining upstreams
+// limit every pause. On a quiet day of a site of 87 boxes these rules together reduced the cost of
+// the calls from 0.069 of the operators' credit to 0.026.
 #pragma once
 
 #include "include/base/Time.h"
@@ -22,75 +22,79 @@
 
 // All times in milliseconds.
 struct StorePacingSettings {
-    Millis configurationWait = 2000;  // How long a watch for the configuration is held at most.
-    Millis upstreamWait = 4000;       // The same for the list of upstreams.
-    Millis pausePerBox = 8;           // After changes of upstreams, before the next watch: this for
-    Millis maxChangePause = 500;      // each box of the site, and at most this.
-    Millis followPeriod = 333;        // A follower asks its watcher this often.
-    Millis followedPause = 125;       // After changes of upstreams, of a box that others follow.
-    Millis followedWait = 500;        // How long a watch is held by a box that others follow.
+    Millis configurationWait = 2000;  // Longest wait of a configuration watch.
+    Millis upstreamWait = 4000;       // Longest wait of an upstream list watch.
+    Millis pausePerBox = 8;       // Pause between changes of upstreams and the next watch: this for
+    Millis maxChangePause = 500;  // each box of the site, limited to this.
+    Millis followPeriod = 333;    // Interval of the queries of a follower to its watcher.
+    Millis followedPause = 125;   // The same pause of a box that others follow.
+    Millis followedWait = 500;    // Longest wait of a watch of a box that others follow.
 };
 
-// The part of a bound on knowledge that a detour over other boxes uses up; see StoreCallPolicy.
+// The part of a bound on the age of state that refreshing through peers uses; see StoreCallPolicy.
 struct FollowerBounds {
-    Millis peerQueryAge = 1000;  // A box whose knowledge is older asks more boxes,
-    Millis maxAge = 1300;        // and one whose knowledge is older than this calls the store.
-    bool leavesTime = true;      // Whether the bound leaves time for a detour over a watcher.
+    Millis peerQueryAge = 1000;  // Older state: a box queries more peers.
+    Millis maxAge = 1300;        // Older state: a box calls the store.
+    bool leavesTime = true;      // Whether the bound leaves time for refreshing through a watcher.
 };
 
 // Fits the times of watchers and followers into two bounds: a draining upstream gets no more work
-// after `drainBound`, a configuration is fresh up to `freshLimit`. Preconditions: both >= 0.
-// Thread safety: any thread.
+// after `drainBound`, and a configuration is fresh up to the age `freshLimit`; both in
+// milliseconds. Sets maxChangePause, followPeriod, followedPause and followedWait of `settings`.
+// Preconditions: both >= 0. Thread safety: any thread.
 FollowerBounds FitFollowers(Millis drainBound, Millis freshLimit, StorePacingSettings& settings);
 
-// How long a watch for the configuration is held, where a configuration is fresh up to
-// `freshLimit`: until the next watch ends, what is known is as old as the watch is long; the rest
-// is for a store that stops answering. Preconditions: freshLimit >= 0. Thread safety: any thread.
+// How long a configuration watch is held if a configuration is fresh up to the age `freshLimit`:
+// until the next watch ends, the state gets as old as the watch is long; the rest of the limit is
+// reserved for a store that stops responding. Preconditions: freshLimit >= 0. Thread safety: any
+// thread.
 Millis ConfigurationWait(Millis freshLimit);
 
-// How long a watch for evacuations is held, where an order is to be kept within `bound`: a watch
-// whose connection went silent is given up and made anew well within it.
+// How long an evacuation watch is held if an evacuation order has to take effect within `bound`: a
+// watch whose connection is silent is abandoned and sent again well within the bound.
 // Preconditions: bound >= 0. Thread safety: any thread.
 Millis EvacuationWait(Millis bound);
 
-// What a box's pace depends on besides its settings.
+// Inputs of the pacing besides the settings.
 struct StorePacingInputs {
-    bool watchesForOthers = false;  // Other boxes follow it, or are about to.
-    bool reliesOnPeers = false;     // It relies on other boxes in ordinary times.
-    bool canServe = false;          // What it knows is young enough to admit requests with a key.
-    size_t siteBoxes = 1;           // Of the site, this one included.
+    bool watchesForOthers = false;  // Other boxes follow the box or are about to.
+    bool reliesOnPeers = false;     // The box relies on peers in normal operation.
+    bool canServe = false;          // Its state is fresh enough to admit requests with a key.
+    size_t siteBoxes = 1;           // Known boxes of the site, including this one.
 };
 
-// How long the next watch is held, of one that is otherwise held for `wait`.
+// How long the next watch is held: `wait`, but at most followedWait where others follow the box.
 // Preconditions: none. Thread safety: any thread.
 Millis WatchWait(const StorePacingSettings& settings, const StorePacingInputs& inputs, Millis wait);
 
-// The pause after a watch that brought changes of upstreams. Preconditions: none.
+// The pause after a watch that returned changes of upstreams. Preconditions: none.
 // Thread safety: any thread.
 Millis PauseAfterChanges(const StorePacingSettings& settings, const StorePacingInputs& inputs);
 
-// The longest pause after failures in a row. Preconditions: none. Thread safety: any thread.
+// The longest pause after consecutive failures. Preconditions: none. Thread safety: any thread.
 Millis MaxPauseAfterFailure(const StorePacingInputs& inputs);
 
-// The pause after another failure, where the one before was followed by `previous` (0: it was the
-// first in a row): doubles up to the longest. Preconditions: none. Thread safety: any thread.
+// The pause after a failure. `previous`: the pause after the preceding failure, 0 if this one is
+// the first; the pause doubles up to MaxPauseAfterFailure(). Preconditions: none. Thread safety:
+// any thread.
 Millis PauseAfterFailure(Millis previous, const StorePacingInputs& inputs);
 
-// The first watch after a failure, and the shortest of any: whether the store is back should be
-// known at once, not when a whole watch ended.
+// The wait of the first watch after a failure, and the shortest of any watch: a box should detect
+// the recovery of the store at once, not after the wait of a whole watch.
 inline constexpr Millis kMinWatchWaitMs = 10;
 
-// Ages of what a box knows, in milliseconds; nothing where it knows none.
+// Ages of the parts of the cached state, in milliseconds; nothing for a part that is missing.
 struct StateAges {
     std::optional<Millis> configuration;
     std::optional<Millis> upstreams;
 
-    // The age of the older one; nothing where one is not known. Preconditions: none.
+    // The greater of the two ages; nothing if a part is missing. Preconditions: none.
     std::optional<Millis> older() const;
 };
 
-// Whether what is known is older than the store's answers would leave it: the store does not answer
-// this box, and others are asked. Preconditions: none. Thread safety: any thread.
+// Whether a part of the state is missing, or older than it gets while the store responds. The store
+// then does not respond to this box, and peers are queried. Preconditions: none. Thread safety: any
+// thread.
 bool IsOverdue(const StorePacingSettings& settings, const StateAges& ages);
 
 }  // namespace onyx
