--- a/include/freshness/WatcherSelector.h
+++ b/include/freshness/WatcherSelector.h
@@ -1,15 +1,16 @@
-// Decides which boxes of a zone watch the store for the others, and which of them this box asks.
-// Inputs: the boxes of the zone in their common order, the links that stand, the ages that watchers
-// report.
+// Selects the boxes of a zone that watch the store for the others, and the one of them that this
+// box queries. Inputs: the boxes of the zone in their common order, the established links, the ages
+// that watchers report.
 //
-// The reason: watches of every box would make the store's calls grow with the boxes; on a day of a
-// site of 85 boxes 10,721 calls became 4,361.
+// If every box watched the store, the number of calls would grow with the number of boxes; on a day
+// of a site of 85 boxes, this selection reduced 10,721 calls to 4,361.
 //
-// Nothing is agreed on. Each box orders the boxes of its zone alike as far as it knows the same
-// ones; the first few are its watchers. A box counts on nothing but the age that a watcher reports:
-// one that is gone, or that knows less than others do, is passed over for a while, and the next in
-// order takes its place. So two boxes that order differently cost a few calls, never a stale list.
-// Whether a box calls the store itself when nobody has young knowledge: StoreCallPolicy.
+// There is no agreement protocol. All boxes that know the same boxes of a zone order them alike;
+// the first few are the watchers. A box relies only on the age that a watcher reports: a watcher
+// that is gone, or whose state is older than that of other boxes, is passed over for a while, and
+// the next box in order takes its place. So two boxes with different orders cost a few calls, never
+// a stale list. StoreCallPolicy decides whether a box calls the store itself when no box has fresh
+// state.
 #pragma once
 
 #include "include/base/Time.h"
@@ -27,41 +28,43 @@
 
 // All times in milliseconds.
 struct WatcherSelectorSettings {
-    // A watcher makes two to three calls a second whether anything changes or not, and answers a
-    // question or two of each follower in that time; with 32 the ten watchers of a site of 295
-    // boxes made a third of all calls of a quiet day. One that is gone costs its followers nothing
-    // but a question to others.
+    // A watcher makes two to three calls a second, with or without changes, and answers one or two
+    // queries a second of each follower. With 32, the ten watchers of a site of 295 boxes made a
+    // third of all calls of a quiet day. The loss of a watcher costs its followers only a query to
+    // other peers.
     size_t boxesPerWatcher = 128;
-    // In a zone of fewer, every box watches: too few calls are saved for the detour.
+    // In a zone of fewer boxes every box watches: a watcher would save too few calls to justify the
+    // detour.
     size_t minBoxes = 5;
-    Millis maxFreshAge = 1000;    // A watcher that stays older than this while others are younger,
-    Millis passOverTime = 10000;  // and one that is gone, is passed over for this long.
-    // A watcher to which no link comes about, or that is old, for this long: three periods of
-    // dialing.
+    Millis maxFreshAge = 1000;    // Greatest age of fresh state.
+    Millis passOverTime = 10000;  // How long a watcher that is gone or stale is passed over.
+    // A watcher is passed over if no link to it has been established for this long, or if its state
+    // has not been fresh for this long while that of this box is: three dialing periods.
     Millis linkTimeout = 1500;
 };
 
-// Not thread safe: one task owns it.
+// Selects the watcher that one box queries. Not thread safe: one task owns it.
 class WatcherSelector {
 public:
     explicit WatcherSelector(const WatcherSelectorSettings& settings) : m_settings(settings) {}
 
-    // The box to ask, or empty if this one is to watch by itself or none can be asked. `zoneOrder`:
-    // addresses of the zone's boxes in their common order, this one included. `linked`: whether a
-    // box can be asked. Preconditions: times do not fall.
+    // The box to query, or empty if this box is a watcher or no watcher can be queried.
+    // `zoneOrder`: addresses of the boxes of the zone in their common order, including this one.
+    // `linked`: whether a box can be queried.
+    // Preconditions: `now` does not decrease from call to call.
     const std::string& choose(std::span<const std::string> zoneOrder, std::string_view self,
                               const std::function<bool(const std::string&)>& linked, MonoTime now);
 
-    // The watcher that this box prefers to ask, linked or not; empty if there is none. A link to it
-    // is worth keeping. Preconditions: choose() was called.
+    // The watcher that this box prefers to query, linked or not; empty if there is none. A link to
+    // it should be kept. Preconditions: choose() was called.
     std::string preferred(std::span<const std::string> zoneOrder, std::string_view self) const;
 
-    // Whether this box is one of its zone's watchers, by the order that choose() got last.
+    // Whether this box is a watcher of its zone in the order of the last call of choose().
     // Preconditions: none.
     bool isWatcher() const { return m_isWatcher; }
 
-    // Boxes before this one in the order that choose() got last, those left out that watch or are
-    // passed over. Preconditions: none.
+    // Number of boxes before this one in the order of the last call of choose(), without watchers
+    // and boxes that are passed over. Preconditions: none.
     size_t rank() const { return m_rank; }
 
     // The watcher `from` noteReply that its knowledge is `theirs` old; this box's own, whoever told
@@ -80,11 +83,11 @@
     std::string m_watcher;  // Empty: none.
     bool m_isWatcher = false;
     size_t m_rank = 0;
-    std::string m_preferred;   // The watcher that this box prefers, linked or not,
-    MonoTime m_unlinkedSince;  // and since when it is preferred and not linked.
+    std::string m_preferred;   // The preferred watcher, linked or not.
+    MonoTime m_unlinkedSince;  // Since when it is preferred and not linked.
     std::optional<MonoTime>
-        m_staleSince;  // When the watcher's knowledge was last fresh, or ours not.
-    std::map<std::string, MonoTime> m_passedOver;  // Boxes passed over, and until when.
+        m_staleSince;  // Since when the watcher is stale while this box is fresh.
+    std::map<std::string, MonoTime> m_passedOver;  // Until when a box is passed over, by address.
 };
 
 }  // namespace onyx
