--- a/include/membership/SampleBoxes.h
+++ b/include/membership/SampleBoxes.h
@@ -1,5 +1,6 @@
-// Decides which few of many boxes are told something in one round. What each box passes on to a few
-// that it draws anew reaches all of them within some rounds, however many there are.
+// Selects the few boxes to which a message is sent in one round. A message that every box forwards
+// to a few boxes, selected anew in each round, reaches all boxes within some rounds, however many
+// there are.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +10,9 @@
 
 namespace onyx {
 
-// `count` of the boxes, or all if there are fewer. `self`: the address of the box that draws, so
-// that not all draw the same ones. Preconditions: none. Thread safety: any thread.
+// A pseudorandom sample of `count` of the boxes, or all if there are fewer. `self`: address of the
+// box that selects, so that not all boxes select the same ones. `round`: its number, so that each
+// round selects other ones. Preconditions: none. Thread safety: any thread.
 std::vector<std::string> SampleBoxes(std::vector<std::string> boxes, size_t count,
                                      const std::string& self, uint64_t round);
 
