--- a/tests/GatewaySettingsTest.cpp
+++ b/tests/GatewaySettingsTest.cpp
@@ -60,13 +60,14 @@
         const GatewaySettings settings =
             Read(kGood + "leaving_bound_ms = " + std::to_string(bound) + "\n", problems);
         CHECK(problems.empty());
-        CHECK(settings.duty.maxAge + settings.pacing.followPeriod < bound * 8 / 10);
+        CHECK(settings.storeCall.maxAge + settings.pacing.followPeriod < bound * 8 / 10);
         // While all is well the knowledge of a follower stays younger than that.
-        CHECK(settings.pacing.followedWait + settings.pacing.followPeriod < settings.duty.maxAge);
+        CHECK(settings.pacing.followedWait + settings.pacing.followPeriod <
+              settings.storeCall.maxAge);
     }
     std::string problems;
     const GatewaySettings tight = Read(kGood + "leaving_bound_ms = 300\n", problems);
-    CHECK(tight.delegation.minBoxes > 1000000);
+    CHECK(tight.watcherSelector.minBoxes > 1000000);
 }
 
 TEST_CASE("Keys are refused on a stale configuration unless the settings say otherwise") {
