--- a/src/freshness/RefreshPlanner.cpp
+++ b/src/freshness/RefreshPlanner.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// In milliseconds. A follower that did not ask for this long is gone: some five of its periods.
+// A follower that has not sent a query for this long is gone: about five of its periods.
 constexpr Millis kFollowerTimeoutMs = 3000;
 
 }  // namespace
@@ -46,8 +46,9 @@
     m_callInputs.age = inputs.age;
 }
 
-// Where every box watches, others are asked once the store does not answer; in large zones already
-// when knowledge is older than a watcher lets it get, by the watcher itself too.
+// In a small zone, where every box watches the store, peers are queried once the store is overdue.
+// In a large zone every box, watchers included, also queries them when its state is older than a
+// watcher lets it get.
 bool RefreshPlanner::shouldQueryPeers(const RefreshInputs& inputs) const {
     if (m_callInputs.inSmallZone) {
         return inputs.overdue;
