--- a/src/freshness/StalenessPolicy.cpp
+++ b/src/freshness/StalenessPolicy.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-// Parts of a bound that a box keeps for itself, in milliseconds. The store may be silent for this
-// long while it takes changes, by its operators.
+// Reserved parts of a bound. The operators of the store state that it may not respond for this long
+// while it processes changes.
 constexpr Millis kMaxStoreSilenceMs = 1000;
-// Clocks, timers and calls are late by no more than this.
+// Greatest total delay of clocks, timers and calls.
 constexpr Millis kMaxLatenessMs = 400;
 
-// What a configuration is good for that is no longer fresh.
+// Classifies a configuration that is no longer fresh.
 struct ClassifyNotFresh {
     Millis age;
 
