--- a/src/freshness/StoreCallPolicy.cpp
+++ b/src/freshness/StoreCallPolicy.cpp
@@ -6,10 +6,9 @@
 
 namespace {
 
-// In milliseconds. What a box said counts for this long: some periods of asking.
+// A report of stale state counts for this long: a few query periods.
 constexpr Millis kStaleReportLifetimeMs = 1500;
-// In milliseconds. A turn is this long: both lists can be asked for, a lost packet may be sent
-// again.
+// Length of a turn: time to request both lists and to retransmit a lost packet.
 constexpr Millis kTurnMs = 300;
 
 }  // namespace
@@ -71,8 +70,8 @@
     if (facts.inSmallZone) {
         return {true, StoreCallReason::kSmallZone};
     }
-    // Until boxes know who watches, all that started together would wait for each other's knowledge
-    // to get old.
+    // Until the boxes have discovered the watchers, all boxes that started together would otherwise
+    // wait for each other until their state is old.
     if (facts.isSeed && !facts.discovered) {
         return {true, StoreCallReason::kFirst};
     }
@@ -97,8 +96,8 @@
     return decideByTurn(facts, now);
 }
 
-// The first turn comes at a random time of the whole round, so that boxes that lost the store
-// together do not try together; later ones a round apart, more or less.
+// The first turn is at a random time within a whole round, so that boxes that lost the store at the
+// same time do not try at the same time. Each later turn follows after half a round to one round.
 StoreCallDecision StoreCallPolicy::decideByTurn(const StoreCallInputs& facts, MonoTime now) {
     const Millis round = m_settings.turnIntervalPerBox * static_cast<Millis>(facts.boxes);
     if (!m_nextTurn) {
