--- a/src/freshness/StorePacing.cpp
+++ b/src/freshness/StorePacing.cpp
@@ -6,30 +6,31 @@
 
 namespace {
 
-// Parts of the shorter one of the bounds. A watcher may be cut off from the store without knowing.
-// Its knowledge is then as old as the watch that it holds (1/4), a follower asks it a period later
-// (1/6) and is at 0.42 of the bound in ordinary times. From 0.45 on a follower asks other boxes
-// too, which takes a round of questions or two, and at 0.6 the store: a lost packet and a second
-// try still fit into the bound.
+// Parts of the shorter of the two bounds. A watcher may be cut off from the store without detecting
+// it. Its state is then as old as the watch that it holds (1/4 of the bound). A follower queries it
+// up to one period later (1/6), so in normal operation the state of a follower reaches 0.42 of the
+// bound. From 0.45 on a follower also queries other peers, which takes one or two rounds of
+// queries, and at 0.6 it calls the store: a lost packet and a second try still fit into the bound.
 constexpr Millis kFollowedWaitDivisor = 4;
 constexpr Millis kFollowPeriodDivisor = 6;
 constexpr double kPeerQueryAgeShare = 0.45;
 constexpr double kMaxAgeShare = 0.6;
-// Changes that come together, as in a release, cost a watcher one call. Small beside the period of
-// followers, who learn of them only then.
+// Pause in which a watcher collects changes that arrive together, as in a release, at the cost of
+// one call. It is short compared with the period of followers, which get the changes only then.
 constexpr Millis kFollowedPauseDivisor = 16;
-// Changes of upstreams may wait for this part of the bound.
+// Changes of upstreams may be delayed by this part of the drain bound.
 constexpr Millis kChangePauseDivisor = 4;
-constexpr Millis kMinFollowBoundMs = 600;   // A shorter bound leaves no time for a detour,
-constexpr Millis kMaxFollowBoundMs = 4000;  // and a longer one is not used up.
+constexpr Millis kMinFollowBoundMs =
+    600;  // A shorter bound leaves no time for refreshing through a watcher.
+constexpr Millis kMaxFollowBoundMs = 4000;  // A longer bound is treated as this one.
 
-// Every call of every box to a store in trouble is load on it. While a box can serve without the
-// store it asks rarely, and often as soon as requests are refused for lack of it.
+// Every call of every box adds load to a failing store. A box that can serve without the store
+// calls it rarely; a box that has to refuse requests because its state is too old calls it often.
 constexpr Millis kMaxPauseRefusingMs = 400;
 constexpr Millis kMaxPauseServingMs = 1600;
-constexpr Millis kFirstPauseMs = 50;  // A lost packet should not cost more.
+constexpr Millis kFirstPauseMs = 50;  // A lost packet should not delay a box longer.
 
-// Beyond the age that the store's answers leave, for their way here.
+// Tolerance for the network delay of a response, beyond the age that the state normally reaches.
 constexpr Millis kAnswerMarginMs = 250;
 
 bool IsWithin(std::optional<Millis> age, Millis limit) {
@@ -64,8 +65,8 @@
     return inputs.watchesForOthers ? std::min(wait, settings.followedWait) : wait;
 }
 
-// The more boxes watch, the more calls each change would cost. The followers of a box wait for it
-// besides, so it pauses only for what comes close together.
+// The more boxes watch, the more calls each change would cost. A box with followers delays them
+// too, so it pauses only for changes in close succession.
 Millis PauseAfterChanges(const StorePacingSettings& settings, const StorePacingInputs& inputs) {
     if (inputs.watchesForOthers) {
         return settings.followedPause;
@@ -78,8 +79,8 @@
     return inputs.canServe ? kMaxPauseServingMs : kMaxPauseRefusingMs;
 }
 
-// A box that has others to rely on calls where all of them know nothing young: a second try at once
-// would find the same.
+// A box that relies on peers calls the store only if none of them has fresh state: an immediate
+// second try would fail as well.
 Millis PauseAfterFailure(Millis previous, const StorePacingInputs& inputs) {
     const Millis first = inputs.reliesOnPeers ? kMaxPauseRefusingMs : kFirstPauseMs;
     return std::min(previous == 0 ? first : previous * 2, MaxPauseAfterFailure(inputs));
