--- a/src/freshness/WatcherSelector.cpp
+++ b/src/freshness/WatcherSelector.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// The watcher that a follower prefers: each follower has its own order, so that they spread.
+// The linked watcher that a follower prefers. Each follower has its own order of the watchers, so
+// that the followers are spread over them.
 std::string PreferredWatcher(std::span<const std::string> watchers, std::string_view self,
                              const std::function<bool(const std::string&)>& linked) {
     const auto best = BestByRendezvous(
@@ -19,8 +20,8 @@
 
 }  // namespace
 
-// The watchers of a zone; none if every box of it watches. The next in order stand in for boxes
-// that are passed over.
+// The watchers of a zone; none if every box of it watches. Boxes that are passed over are replaced
+// by the next ones in order.
 std::vector<std::string> WatcherSelector::watchersOf(std::span<const std::string> zoneOrder) const {
     std::vector<std::string> watchers;
     const size_t boxes = zoneOrder.size();
@@ -36,7 +37,8 @@
     return watchers;
 }
 
-// A watcher that this box has no link to for long is taken to be gone, until it is tried again.
+// A watcher to which this box has had no link for linkTimeout is passed over for passOverTime, then
+// tried again.
 void WatcherSelector::updateLinks(std::span<const std::string> zoneOrder, std::string_view self,
                                   const std::function<bool(const std::string&)>& linked,
                                   MonoTime now) {
@@ -90,8 +92,8 @@
     return PreferredWatcher(watchersOf(zoneOrder), self, any);
 }
 
-// While nobody has young knowledge the store is in trouble, and the next in order would do no
-// better.
+// If this box has no fresh state either, no box has: the store is failing, and the next box in
+// order would be no better than the watcher.
 void WatcherSelector::noteReply(std::string_view from, std::optional<Millis> theirs,
                                 std::optional<Millis> own, MonoTime now) {
     if (from != m_watcher || m_watcher.empty()) {
