--- a/src/membership/AnnouncedBoxes.cpp
+++ b/src/membership/AnnouncedBoxes.cpp
@@ -6,8 +6,9 @@
 
 namespace onyx {
 
-// A box whose zone becomes known is news again. Two boxes of one hash, one pair in 10^5 sites of
-// 300, cost a box that is told later, by another link.
+// The hash includes the zone, so a box whose zone becomes known is announced again. If two boxes
+// have the same hash (one pair in 10^5 sites of 300 boxes), one of them is announced later, over
+// another link.
 bool AnnouncedBoxes::Insert(ShortHashes& hashes, const KnownBox& box) {
     const uint32_t hash = ShortHash(box.address + " " + box.zone);
     const auto at = std::lower_bound(hashes.begin(), hashes.end(), hash);
