--- a/src/membership/DigestPeriod.cpp
+++ b/src/membership/DigestPeriod.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// In milliseconds: longer than a box takes to read a large list or configuration.
+// Longer than a box takes to read a large list or configuration.
 constexpr Millis kMinSilenceTimeoutMs = 2500;
-constexpr Millis kMaxMissedDigests = 3;  // So many digests in a row may be late.
+constexpr Millis kMaxMissedDigests = 3;  // Consecutive digests that may be late.
 
 }  // namespace
 
