--- a/include/freshness/PeerQueries.h
+++ b/include/freshness/PeerQueries.h
@@ -23,12 +23,12 @@
 // Tracks the queries of one box to its peers. Not thread safe: one task owns it.
 class PeerQueries {
 public:
-    // Questions that still may be stateAsOf.
+    // Queries whose replies are still accepted.
     static constexpr size_t kMaxOpenQueries = 64;
     // Peers that are queried in one round: enough to reach one that the store responds to when a
     // third of the boxes is cut off.
     static constexpr size_t kPeersPerRound = 8;
-    // A box that was asked for more than ages and has not stateAsOf for this long is given up on.
+    // A fetch that has not been answered for this long is abandoned.
     static constexpr Millis kFetchTimeoutMs = 1000;
 
     // Notes that a query is sent now and returns its number.
@@ -47,7 +47,8 @@
     // while another fetch is in progress. Preconditions: as for ask().
     std::optional<uint64_t> startFetch(MonoTime now);
 
-    // The question `round` was stateAsOf; true if it was a fetch, and another may start.
+    // Notes that query `round` was answered. Returns true if it was the fetch in progress; another
+    // one may then start.
     // Preconditions: none.
     bool endFetch(uint64_t round);
 
