--- a/include/freshness/WatcherSelector.h
+++ b/include/freshness/WatcherSelector.h
@@ -67,8 +67,9 @@
     // and boxes that are passed over. Preconditions: none.
     size_t rank() const { return m_rank; }
 
-    // The watcher `from` noteReply that its knowledge is `theirs` old; this box's own, whoever told
-    // it, is `own` old; nothing where there is none. Preconditions: as for choose().
+    // Notes the reply of the watcher `from` that its state is `theirs` old. `own`: age of the state
+    // of this box, whatever its source. An age is nothing where there is no state.
+    // Preconditions: as for choose().
     void noteReply(std::string_view from, std::optional<Millis> theirs, std::optional<Millis> own,
                    MonoTime now);
 
