--- a/tests/RefreshSimulation.h
+++ b/tests/RefreshSimulation.h
@@ -1,7 +1,8 @@
-// A site in miniature for replays of who calls the store: many boxes in zones, each with the
-// gateway's own RefreshPlanner and StorePacing, and a store that answers, refuses or is silent.
-// Virtual time, one seed, no socket: the same run every time. What a box knows is one number here,
-// the time as of which it knows everything; how changes travel is not replayed.
+// Simulates which boxes of a site call the store: many boxes in zones, each with the RefreshPlanner
+// and StorePacing of the gateway, and a store that responds, refuses or does not respond. It uses
+// virtual time, one seed and no sockets, so every run is the same. The state of a box is a single
+// number here, the time as of which the state is complete; the transfer of changes is not
+// simulated.
 #pragma once
 
 #include "include/freshness/PeerQueries.h"
@@ -20,7 +21,7 @@
 
 namespace onyx {
 
-// How the site is made. Times in milliseconds.
+// Size and bounds of the site. Times in milliseconds.
 struct RefreshSimulationSettings {
     size_t boxes = 295;
     size_t zones = 5;
@@ -28,31 +29,33 @@
     Millis freshLimit = 3600;
 };
 
-// Not thread safe.
+// A simulated site. Not thread safe.
 class RefreshSimulation {
 public:
     RefreshSimulation(RefreshSimulationSettings size, uint64_t seed);
     ~RefreshSimulation();
 
-    // Plays for `time`.
+    // Advances the simulation by `time` in milliseconds.
     void run(Millis time);
 
-    // Calls that reached the store, or would have: all but those of boxes that are cut off from it.
+    // Calls that reached the store or would have reached it: all but those of boxes that are cut
+    // off from it.
     size_t calls() const { return m_calls; }
-    // Reads of copyReads, which cost a tenth of a call.
+    // Reads of copies, which cost a tenth of a call each.
     size_t copyReads() const { return m_copyReads; }
-    // Boxes that run and whose knowledge is older than `limit`, or missing, now.
+    // Number of running boxes whose state is missing or older than `limit` (milliseconds) now.
     size_t olderThan(Millis limit) const;
-    // The oldest knowledge that a running box had at any time since the last call of this, of those
-    // that had some; in milliseconds.
+    // Greatest age of the state of any running box that had state, since the last call of this
+    // method; in milliseconds.
     Millis takeMaxAge();
 
-    // Boxes whose calls the store refuses from now on.
+    // Makes the store refuse the calls of the boxes for which `refused` is true, from now on, in
+    // addition to those already refused.
     void refuse(const std::function<bool(size_t box)>& refused);
     void refuseNone() { m_refused.clear(); }
-    // Kills boxes; they start again after `down`, knowing nothing.
+    // Stops boxes; they start again after `down` milliseconds, without state.
     void kill(const std::vector<size_t>& boxes, Millis down);
-    // Boxes that watch for their zone now.
+    // Boxes that watch the store for their zone now.
     std::vector<size_t> watchers() const;
     size_t zoneOf(size_t box) const { return box % m_size.zones; }
 
