--- a/tests/RefreshSimulation.cpp
+++ b/tests/RefreshSimulation.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr Millis kStepPeriodMs = 100;  // As PeerSync's.
-constexpr Millis kNetworkDelayMs = 2;  // Between any two boxes, and to the store.
-constexpr Millis kStoreDelayMs = 4;    // Of the store.
-constexpr size_t kMaxDialed = 16;      // As PeerMesh's.
+constexpr Millis kStepPeriodMs = 100;  // As in PeerSync.
+constexpr Millis kNetworkDelayMs = 2;  // One way, between any two boxes and to the store.
+constexpr Millis kStoreDelayMs = 4;    // Until the store responds.
+constexpr size_t kMaxDialed = 16;      // As in PeerMesh.
 constexpr size_t kSeeds = 3;
 
 }  // namespace
 
-// One incarnation of a box, or what is left of it.
+// One incarnation of a box, running or stopped.
 struct RefreshSimulation::Box {
     size_t index = 0;
     uint64_t incarnation = 0;
@@ -24,9 +24,9 @@
     std::unique_ptr<RefreshPlanner> planner;
     PeerQueries questions;
     StoreCallDecision storeCall;
-    std::optional<MonoTime> asOf[2];     // Of the configuration and of the list of upstreams.
-    bool waiting[2] = {false, false};    // For a call to be allowed.
-    bool confirmed[2] = {false, false};  // Since it began to call.
+    std::optional<MonoTime> asOf[2];     // Of the configuration and of the upstream list.
+    bool waiting[2] = {false, false};    // Whether a call waits for permission.
+    bool confirmed[2] = {false, false};  // Whether the store responded since the calls began.
     Millis pause[2] = {0, 0};
 };
 
@@ -119,7 +119,7 @@
     m_maxAge = std::max(m_maxAge, age.value_or(0));
     std::vector<std::string> linked = m_neighbours[i];
     const std::vector<std::string>& zone = m_zoneOrders[zoneOf(i)];
-    linked.push_back(zone.front());  // Links that are kept to watchers, past and present.
+    linked.push_back(zone.front());  // Links that are kept to current and former watchers.
     linked.push_back(zone[1]);
     for (size_t seed = 0; seed < kSeeds; ++seed) {
         linked.push_back(m_names[seed]);
