--- a/tests/AnnouncedBoxesTest.cpp
+++ b/tests/AnnouncedBoxesTest.cpp
@@ -18,11 +18,11 @@
             "z"};
 }
 
-// Boxes that start at one moment, knowing the seeds only, and tell each other by rounds of half a
-// second, as PeerMesh does.
+// Boxes that start at one moment, knowing the seeds only, and announce each other by rounds of half
+// a second, as PeerMesh does.
 class StartingSite {
 public:
-    explicit StartingSite(size_t count) : m_news(count), m_links(count) {
+    explicit StartingSite(size_t count) : m_announced(count), m_links(count) {
         for (size_t i = 0; i < count; ++i) {
             m_boxes.emplace_back(BoxOf(i), kMaxDialed);
             for (size_t seed = 0; seed < kSeeds; ++seed) {
@@ -35,7 +35,7 @@
         for (size_t i = 0; i < m_boxes.size(); ++i) {
             const std::vector<KnownBox> newcomers = m_boxes[i].takeNewBoxes();
             for (const size_t peer : std::set<size_t>(m_links[i])) {
-                tell(i, peer, newcomers);
+                announce(i, peer, newcomers);
             }
             for (const std::string& address : m_boxes[i].boxesToDial(m_links[i].empty())) {
                 link(i, numberOf(address));
@@ -49,7 +49,7 @@
         });
     }
     size_t entries() const { return m_entries; }
-    size_t links() const { return m_made; }
+    size_t links() const { return m_linksOpened; }
 
 private:
     static constexpr size_t kSeeds = 3;
@@ -66,48 +66,48 @@
         if (from == to || !m_links[from].insert(to).second) {
             return;
         }
-        ++m_made;
+        ++m_linksOpened;
         m_links[to].insert(from);
-        m_news[from].linkOpened(BoxOf(to));
-        m_news[to].linkOpened(BoxOf(from));
+        m_announced[from].linkOpened(BoxOf(to));
+        m_announced[to].linkOpened(BoxOf(from));
         m_boxes[from].noteContact(BoxOf(to), {0});
         m_boxes[to].noteContact(BoxOf(from), {0});
-        tell(from, to, m_boxes[from].all());
-        tell(to, from, m_boxes[to].all());
+        announce(from, to, m_boxes[from].all());
+        announce(to, from, m_boxes[to].all());
     }
 
-    void tell(size_t from, size_t to, const std::vector<KnownBox>& boxes) {
-        for (const KnownBox& box : m_news[from].takeUnannounced(BoxOf(to).address, boxes)) {
+    void announce(size_t from, size_t to, const std::vector<KnownBox>& boxes) {
+        for (const KnownBox& box : m_announced[from].takeUnannounced(BoxOf(to).address, boxes)) {
             ++m_entries;
             m_boxes[to].learn(box, {0});
-            m_news[to].noteAnnounced(BoxOf(from).address, box);
+            m_announced[to].noteAnnounced(BoxOf(from).address, box);
         }
     }
 
     std::vector<BoxDirectory> m_boxes;
-    std::vector<AnnouncedBoxes> m_news;
+    std::vector<AnnouncedBoxes> m_announced;
     std::vector<std::set<size_t>> m_links;
     size_t m_entries = 0;
-    size_t m_made = 0;
+    size_t m_linksOpened = 0;
 };
 
 }  // namespace
 
 TEST_CASE("A box is told over a link once, and not to who told it") {
-    AnnouncedBoxes news;
+    AnnouncedBoxes announced;
     const std::vector<KnownBox> boxes{BoxOf(1), BoxOf(2), BoxOf(3)};
-    CHECK(news.takeUnannounced(BoxOf(1).address, boxes).empty());
-    news.linkOpened(BoxOf(1));
-    news.noteAnnounced(BoxOf(1).address, BoxOf(2));
-    CHECK(news.takeUnannounced(BoxOf(1).address, boxes) == std::vector<KnownBox>{BoxOf(3)});
-    CHECK(news.takeUnannounced(BoxOf(1).address, boxes).empty());
-    // A box whose zone was not known yet is news again; a new link begins anew.
+    CHECK(announced.takeUnannounced(BoxOf(1).address, boxes).empty());
+    announced.linkOpened(BoxOf(1));
+    announced.noteAnnounced(BoxOf(1).address, BoxOf(2));
+    CHECK(announced.takeUnannounced(BoxOf(1).address, boxes) == std::vector<KnownBox>{BoxOf(3)});
+    CHECK(announced.takeUnannounced(BoxOf(1).address, boxes).empty());
+    // A box whose zone was not known yet is announced again; a new link begins anew.
     const std::vector<KnownBox> moved{{BoxOf(3).address, "other"}};
-    CHECK(news.takeUnannounced(BoxOf(1).address, moved).size() == 1);
-    news.linkClosed(BoxOf(1).address);
-    CHECK(news.takeUnannounced(BoxOf(1).address, boxes).empty());
-    news.linkOpened(BoxOf(1));
-    CHECK(news.takeUnannounced(BoxOf(1).address, boxes).size() == 2);
+    CHECK(announced.takeUnannounced(BoxOf(1).address, moved).size() == 1);
+    announced.linkClosed(BoxOf(1).address);
+    CHECK(announced.takeUnannounced(BoxOf(1).address, boxes).empty());
+    announced.linkOpened(BoxOf(1));
+    CHECK(announced.takeUnannounced(BoxOf(1).address, boxes).size() == 2);
 }
 
 // Grounds: over each link each box has to be told at most once, whichever end says it. Before, both
--- a/tests/BoxDirectoryTest.cpp
+++ b/tests/BoxDirectoryTest.cpp
@@ -128,7 +128,7 @@
 // Boxes that exchange sightings with their neighbours, each every five seconds, in virtual time.
 class SightingSite {
 public:
-    explicit SightingSite(size_t count) : m_lives(count, true) {
+    explicit SightingSite(size_t count) : m_running(count, true) {
         for (size_t i = 0; i < count; ++i) {
             m_boxes.emplace_back(address(i), kMaxDialed);
             for (size_t other = 0; other < count; ++other) {
@@ -137,43 +137,43 @@
         }
     }
 
-    void kill(size_t box) { m_lives[box] = false; }
-    void stopTelling() { m_tells = false; }
+    void kill(size_t box) { m_running[box] = false; }
+    void stopForwarding() { m_forwards = false; }
 
-    void play(Millis time) {
-        for (const MonoTime until = m_now + time; m_now < until; m_now = m_now + kRound) {
+    void run(Millis time) {
+        for (const MonoTime until = m_now + time; m_now < until; m_now = m_now + kRoundMs) {
             for (size_t i = 0; i < m_boxes.size(); ++i) {
-                tell(i);
+                sendDigest(i);
             }
         }
     }
 
     size_t known(size_t box) const { return m_boxes[box].size(); }
-    size_t most() const { return m_most; }
+    size_t maxSightings() const { return m_maxSightings; }
 
 private:
-    static constexpr Millis kRound = 5000;
+    static constexpr Millis kRoundMs = 5000;
 
     static KnownBox address(size_t number) {
         return {"10.0." + std::to_string(number / 200) + "." + std::to_string(number % 200) + ":70",
                 "z"};
     }
 
-    void tell(size_t from) {
-        if (!m_lives[from]) {
+    void sendDigest(size_t from) {
+        if (!m_running[from]) {
             return;
         }
         const auto sightings = m_boxes[from].takeSightings(m_now);
-        m_most = std::max(m_most, sightings.size());
+        m_maxSightings = std::max(m_maxSightings, sightings.size());
         std::set<std::string> linked;
         for (size_t to = 0; to < m_boxes.size(); ++to) {
-            if (to == from || !m_lives[to] || !m_boxes[from].isNeighbour(address(to).address)) {
+            if (to == from || !m_running[to] || !m_boxes[from].isNeighbour(address(to).address)) {
                 continue;
             }
             linked.insert(address(to).address);
             m_boxes[to].noteContact(address(from), m_now);
             for (const BoxSighting& sighting : sightings) {
-                if (m_tells) {
+                if (m_forwards) {
                     m_boxes[to].noteSighting(sighting, m_now);
                 }
             }
@@ -183,10 +183,10 @@
     }
 
     std::vector<BoxDirectory> m_boxes;
-    std::vector<bool> m_lives;
-    bool m_tells = true;
+    std::vector<bool> m_running;
+    bool m_forwards = true;
     MonoTime m_now{1000};
-    size_t m_most = 0;
+    size_t m_maxSightings = 0;
 };
 
 }  // namespace
@@ -199,18 +199,18 @@
 TEST_CASE("Boxes of a large site know each other for as long as they live") {
     constexpr size_t kBoxes = 295;
     SightingSite site(kBoxes);
-    site.play(2 * BoxDirectory::kExpiryMs);
+    site.run(2 * BoxDirectory::kExpiryMs);
     for (size_t i = 0; i < kBoxes; ++i) {
         CHECK(site.known(i) == kBoxes);
     }
-    CHECK(site.most() <= BoxDirectory::kMaxSightings);
+    CHECK(site.maxSightings() <= BoxDirectory::kMaxSightings);
     // A third of them ends: the others expire these, and no others.
     size_t left = kBoxes;
     for (size_t i = 0; i < kBoxes; i += 3) {
         site.kill(i);
         --left;
     }
-    site.play(3 * BoxDirectory::kExpiryMs);
+    site.run(3 * BoxDirectory::kExpiryMs);
     for (size_t i = 1; i < kBoxes; i += 3) {
         CHECK(site.known(i) == left);
     }
@@ -218,8 +218,8 @@
 
 TEST_CASE("Without sightings a box of a large site keeps none but the boxes that it is linked to") {
     SightingSite site(295);
-    site.stopTelling();
-    site.play(2 * BoxDirectory::kExpiryMs);
+    site.stopForwarding();
+    site.run(2 * BoxDirectory::kExpiryMs);
     CHECK(site.known(7) < 100);
 }
 
--- a/tests/FreshnessTest.cpp
+++ b/tests/FreshnessTest.cpp
@@ -24,20 +24,20 @@
 }
 
 // Found in the logs of pcw-onyx-grown quiet-1: after a watch that ended with changes the watchers'
-// knowledge got two watches old, and 79 followers left them at once, though all was well.
+// queries got two watches old, and 79 followers left them at once, though all was well.
 TEST_CASE("A change does not let knowledge grow two watches old") {
-    constexpr Millis kMost = 750;
-    constexpr Millis kLeast = 10;
-    CHECK(WaitForMaxAge(kMost, 0, kLeast) == 750);
-    CHECK(WaitForMaxAge(kMost, 740, kLeast) == 10);
-    CHECK(WaitForMaxAge(kMost, 5000, kLeast) == 10);
+    constexpr Millis kMaxWaitMs = 750;
+    constexpr Millis kMinWaitMs = 10;
+    CHECK(WaitForMaxAge(kMaxWaitMs, 0, kMinWaitMs) == 750);
+    CHECK(WaitForMaxAge(kMaxWaitMs, 740, kMinWaitMs) == 10);
+    CHECK(WaitForMaxAge(kMaxWaitMs, 5000, kMinWaitMs) == 10);
     // Watches that end at any time by a change: the age stays near one watch.
-    for (Millis change = 1; change < kMost; ++change) {
+    for (Millis change = 1; change < kMaxWaitMs; ++change) {
         const MonoTime sent{1000};
         const MonoTime ended = sent + change;
-        const MonoTime asOf = WatchConfirmedAsOf(sent, ended, kMost, false);
-        const Millis next = WaitForMaxAge(kMost, ended - asOf, kLeast);
-        CHECK(ended + next - asOf <= kMost + kLeast);
+        const MonoTime asOf = WatchConfirmedAsOf(sent, ended, kMaxWaitMs, false);
+        const Millis next = WaitForMaxAge(kMaxWaitMs, ended - asOf, kMinWaitMs);
+        CHECK(ended + next - asOf <= kMaxWaitMs + kMinWaitMs);
     }
 }
 
@@ -110,28 +110,28 @@
 }
 
 TEST_CASE("Of many boxes some are asked in each round, and all in turn") {
-    PeerQueries knowledge;
+    PeerQueries queries;
     std::vector<std::string> peers;
     for (int i = 0; i < 30; ++i) {
         peers.push_back("box-" + std::to_string(i));
     }
     std::set<std::string> asked;
     for (int round = 0; round < 4; ++round) {
-        const auto some = knowledge.nextPeers(peers);
+        const auto some = queries.nextPeers(peers);
         CHECK(some.size() == PeerQueries::kPeersPerRound);
         asked.insert(some.begin(), some.end());
     }
     CHECK(asked.size() == peers.size());
     peers.resize(3);
-    CHECK(knowledge.nextPeers(peers) == peers);
+    CHECK(queries.nextPeers(peers) == peers);
 }
 
 TEST_CASE("Boxes whose watches ended together do not stay equally old") {
-    constexpr Millis kMost = 2000;
+    constexpr Millis kMaxWaitMs = 2000;
     constexpr int kBoxes = 6;
     constexpr MonoTime kEnd{60000};
     std::minstd_rand random(1);
-    const auto wait = [&random] { return StaggeredWait(kMost, random()); };
+    const auto wait = [&random] { return StaggeredWait(kMaxWaitMs, random()); };
     struct Watch {
         MonoTime sent;
         MonoTime ends;
@@ -142,22 +142,22 @@
             {MonoTime{0}, MonoTime{0} + wait()});  // All sent at once, after a change.
     }
     Millis sum = 0;
-    Millis looks = 0;
-    for (MonoTime now{kMost}; now < kEnd; now = now + 10) {
+    Millis samples = 0;
+    for (MonoTime now{kMaxWaitMs}; now < kEnd; now = now + 10) {
         MonoTime newest{0};
         for (Watch& watch : watches) {
             if (now >= watch.ends) {
                 watch = {now, now + wait()};
-                CHECK(watch.ends - now >= kMost / 2);
-                CHECK(watch.ends - now <= kMost);
+                CHECK(watch.ends - now >= kMaxWaitMs / 2);
+                CHECK(watch.ends - now <= kMaxWaitMs);
             }
             newest = std::max(newest, watch.sent);
         }
         sum += now - newest;
-        ++looks;
+        ++samples;
     }
-    // Equally long watches would make it kMost / 2.
-    CHECK(sum / looks < kMost / 6);
+    // Equally long watches would make it kMaxWaitMs / 2.
+    CHECK(sum / samples < kMaxWaitMs / 6);
 }
 
 TEST_CASE("A staggered wait needs no least length") {
--- a/tests/StorePacingTest.cpp
+++ b/tests/StorePacingTest.cpp
@@ -19,7 +19,7 @@
 }
 
 TEST_CASE("The detour over a watcher fits into the shorter of the two bounds, at any bounds") {
-    constexpr Millis kStepOfBox = 100;  // How often a box looks whether it has to call.
+    constexpr Millis kStepPeriodMs = 100;  // How often a box looks whether it has to call.
     for (const Millis drainBound : {600, 1000, 2000, 3000, 4000, 20000}) {
         for (const Millis freshLimit : {700, 2000, 3600}) {
             StorePacingSettings settings;
@@ -29,7 +29,7 @@
             // In ordinary times a follower asks nobody else.
             CHECK(settings.followedWait + settings.followPeriod < bounds.peerQueryAge);
             CHECK(bounds.peerQueryAge < bounds.maxAge);
-            CHECK(bounds.maxAge + kStepOfBox < bound);
+            CHECK(bounds.maxAge + kStepPeriodMs < bound);
         }
     }
     StorePacingSettings settings;
