--- a/tests/BoxDirectoryTest.cpp
+++ b/tests/BoxDirectoryTest.cpp
@@ -18,7 +18,7 @@
     return {"10.0.0." + std::to_string(number) + ":70", zone};
 }
 
-// The directories of `count` boxes that know each other.
+// Directories of `count` boxes that know each other.
 std::vector<BoxDirectory> Site(size_t count) {
     std::vector<BoxDirectory> site;
     for (size_t i = 0; i < count; ++i) {
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-// Found in the logs of a site of 85 boxes: each new link told all boxes to all links, 0.7 GB in a
-// minute.
-TEST_CASE("A box is told on once, and again only when its zone becomes known") {
+// Guards against a failure on a site of 85 boxes: each new link caused an announcement of all boxes
+// over all links, 0.7 GB in a minute.
+TEST_CASE("A new box is announced once, and again only when its zone becomes known") {
     BoxDirectory boxes(BoxOf(0), kMaxDialed);
     boxes.learn(BoxOf(1, ""), {1});
     boxes.learn(BoxOf(2), {1});
@@ -60,7 +60,7 @@
     CHECK(links == kBoxes * (kBoxes - 1) / 2);
 }
 
-TEST_CASE("In a large site each box dials as many as dial it") {
+TEST_CASE("In a large site each box dials as many boxes as dial it") {
     constexpr size_t kBoxes = 85;
     const auto site = Site(kBoxes);
     std::map<std::string, size_t> dialed;
@@ -76,7 +76,7 @@
     CHECK(dialed.size() == kBoxes);
 }
 
-TEST_CASE("Neighbours are the boxes that one dials or is dialed by") {
+TEST_CASE("The neighbours of a box are the boxes that it dials or that dial it") {
     const auto site = Site(85);
     const BoxDirectory& box = site.front();
     size_t neighbours = 0;
@@ -95,12 +95,12 @@
     CHECK(Site(7).front().isNeighbour(BoxOf(3).address));
 }
 
-TEST_CASE("A box without links dials all that it knows") {
+TEST_CASE("A box without links dials every box that it knows") {
     const auto site = Site(40);
     CHECK(site.front().boxesToDial(true).size() == 39);
 }
 
-TEST_CASE("Boxes that nobody heard of for long are forgotten, but for those that are linked") {
+TEST_CASE("Boxes that were not seen for long expire unless they are linked") {
     BoxDirectory boxes(BoxOf(0), kMaxDialed);
     boxes.learn(BoxOf(1), {1});
     boxes.learn(BoxOf(2), {1});
@@ -110,7 +110,7 @@
     CHECK(boxes.boxesToDial(true).size() == 2);
 }
 
-TEST_CASE("All boxes of a zone agree on their order") {
+TEST_CASE("All boxes of a zone compute the same order") {
     BoxDirectory first(BoxOf(0), kMaxDialed);
     BoxDirectory second(BoxOf(1), kMaxDialed);
     for (size_t i = 0; i < 6; ++i) {
@@ -125,7 +125,7 @@
 
 namespace {
 
-// Boxes that exchange sightings with their neighbours, each every five seconds, in virtual time.
+// Boxes that each send sightings to their neighbours every 5 s, in virtual time.
 class SightingSite {
 public:
     explicit SightingSite(size_t count) : m_running(count, true) {
@@ -191,12 +191,12 @@
 
 }  // namespace
 
-// Pattern: a site of hundreds of boxes that runs for longer than a minute.
-// How: a box hears a ninth of the others itself. The others were forgotten a minute after they had
-// been learned; from then on it divided the retries of the site by 33 boxes and not by 295, took
-// the counts of 33 for those of all, and knew its zone's first box no more. Proof: this replay;
-// without sightings only the linked boxes stay.
-TEST_CASE("Boxes of a large site know each other for as long as they live") {
+// Guards against a failure on sites of hundreds of boxes that run for longer than a minute: a box
+// has links to a ninth of the others, and the rest expired a minute after it had learned of them.
+// From then on it divided the retry budget of the site by 33 boxes instead of 295, took the counts
+// of 33 boxes for those of all, and no longer knew the first box of its zone. In this simulation,
+// only the linked boxes stay known without sightings.
+TEST_CASE("Boxes of a large site know each other for as long as they run") {
     constexpr size_t kBoxes = 295;
     SightingSite site(kBoxes);
     site.run(2 * BoxDirectory::kExpiryMs);
@@ -216,26 +216,26 @@
     }
 }
 
-TEST_CASE("Without sightings a box of a large site keeps none but the boxes that it is linked to") {
+TEST_CASE("Without sightings a box of a large site keeps only the boxes that it is linked to") {
     SightingSite site(295);
     site.stopForwarding();
     site.run(2 * BoxDirectory::kExpiryMs);
     CHECK(site.known(7) < 100);
 }
 
-TEST_CASE("What is said of a box that is gone only gets older") {
+TEST_CASE("The reported age of a stopped box only grows") {
     BoxDirectory boxes(BoxOf(0), kMaxDialed);
     boxes.learn(BoxOf(1), {1000});
     const uint32_t number = ShortHash(BoxOf(1).address);
     constexpr Millis kPeriod = BoxDirectory::kSightingPeriodMs;
     boxes.noteSighting({number, 500}, {1000 + kPeriod});
     CHECK(boxes.age(BoxOf(1).address, {1000 + kPeriod}) == 500);
-    // Not yet so much newer than what was passed on.
+    // Newer than the forwarded sighting by less than the period.
     CHECK(boxes.takeSightings({1000 + kPeriod}).empty());
     boxes.noteSighting({number, 0}, {1000 + kPeriod});
     REQUIRE(boxes.takeSightings({3000 + kPeriod}).size() == 1);
     CHECK(boxes.takeSightings({3000 + kPeriod}).empty());
-    // The same word over a longer way, and of a box that is not known.
+    // An older sighting over a longer route, and a sighting of an unknown box.
     boxes.noteSighting({number, 9000}, {4000 + kPeriod});
     boxes.noteSighting({number + 1, 0}, {4000 + kPeriod});
     CHECK(boxes.age(BoxOf(1).address, {4000 + kPeriod}) == 3000);
