--- a/tests/AnnouncedBoxesTest.cpp
+++ b/tests/AnnouncedBoxesTest.cpp
@@ -18,8 +18,8 @@
             "z"};
 }
 
-// Boxes that start at one moment, knowing the seeds only, and announce each other by rounds of half
-// a second, as PeerMesh does.
+// Boxes that start at the same moment, know only the seeds, and announce boxes to each other in
+// rounds of 0.5 s, as PeerMesh does.
 class StartingSite {
 public:
     explicit StartingSite(size_t count) : m_announced(count), m_links(count) {
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-TEST_CASE("A box is told over a link once, and not to who told it") {
+TEST_CASE("A box is announced once over a link, and not to the peer that announced it") {
     AnnouncedBoxes announced;
     const std::vector<KnownBox> boxes{BoxOf(1), BoxOf(2), BoxOf(3)};
     CHECK(announced.takeUnannounced(BoxOf(1).address, boxes).empty());
@@ -101,7 +101,7 @@
     announced.noteAnnounced(BoxOf(1).address, BoxOf(2));
     CHECK(announced.takeUnannounced(BoxOf(1).address, boxes) == std::vector<KnownBox>{BoxOf(3)});
     CHECK(announced.takeUnannounced(BoxOf(1).address, boxes).empty());
-    // A box whose zone was not known yet is announced again; a new link begins anew.
+    // A box whose zone becomes known is announced again; a new link starts without a record.
     const std::vector<KnownBox> moved{{BoxOf(3).address, "other"}};
     CHECK(announced.takeUnannounced(BoxOf(1).address, moved).size() == 1);
     announced.linkClosed(BoxOf(1).address);
@@ -110,9 +110,9 @@
     CHECK(announced.takeUnannounced(BoxOf(1).address, boxes).size() == 2);
 }
 
-// Grounds: over each link each box has to be told at most once, whichever end says it. Before, both
-// ends of a link said all that they knew, and each newcomer once more.
-TEST_CASE("Boxes that start together know each other soon, each told once over a link") {
+// Each box has to be announced at most once over each link, by either end. Guards against both ends
+// of a link sending their whole lists, and each new box once more.
+TEST_CASE("Boxes that start together know each other soon, each announced once over a link") {
     constexpr size_t kBoxes = 120;
     StartingSite site(kBoxes);
     int rounds = 0;
