--- a/tests/DigestPeriodTest.cpp
+++ b/tests/DigestPeriodTest.cpp
@@ -4,9 +4,9 @@
 
 using namespace onyx;
 
-// Found in the logs of a site of 85 boxes: the budget stretched the digests' period beyond the
-// bound on silence, so sound links were closed and dialed again, 3,700 times in 75 s.
-TEST_CASE("A link is not silent before the digest that its box announced is overdue") {
+// Guards against a failure on a site of 85 boxes: the budget extended the period of the digests
+// beyond the silence timeout, so working links were closed and dialed again, 3,700 times in 75 s.
+TEST_CASE("A link does not count as dead before the next announced digest is overdue") {
     const Millis period = DigestPeriod(100, 32, 500, 4000);
     CHECK(period == 4000);
     CHECK(SilenceTimeout(period) > 2 * period);
