--- a/tests/FreshnessTest.cpp
+++ b/tests/FreshnessTest.cpp
@@ -12,7 +12,7 @@
 
 using namespace onyx;
 
-TEST_CASE("Knowledge ages from the newest confirmation") {
+TEST_CASE("The age of the state counts from the newest confirmation") {
     StateAge known;
     CHECK(ClassifyStaleness(RefuseStale{}, 1000, known.age({0})) == Staleness::kUnusable);
     CHECK_FALSE(known.age({0}).has_value());
@@ -23,15 +23,16 @@
     CHECK(ClassifyStaleness(RefuseStale{}, 300, known.age({401})) == Staleness::kUnusable);
 }
 
-// Found in the logs of pcw-onyx-grown quiet-1: after a watch that ended with changes the watchers'
-// queries got two watches old, and 79 followers left them at once, though all was well.
-TEST_CASE("A change does not let knowledge grow two watches old") {
+// Guards against a failure of pcw-onyx-grown quiet-1: after a watch that ended with changes the
+// state of the watchers got as old as two watches, and 79 followers left them at once without a
+// fault.
+TEST_CASE("After a change the state does not get as old as two watches") {
     constexpr Millis kMaxWaitMs = 750;
     constexpr Millis kMinWaitMs = 10;
     CHECK(WaitForMaxAge(kMaxWaitMs, 0, kMinWaitMs) == 750);
     CHECK(WaitForMaxAge(kMaxWaitMs, 740, kMinWaitMs) == 10);
     CHECK(WaitForMaxAge(kMaxWaitMs, 5000, kMinWaitMs) == 10);
-    // Watches that end at any time by a change: the age stays near one watch.
+    // A change may end a watch at any time: the age stays near the length of one watch.
     for (Millis change = 1; change < kMaxWaitMs; ++change) {
         const MonoTime sent{1000};
         const MonoTime ended = sent + change;
@@ -41,14 +42,14 @@
     }
 }
 
-TEST_CASE("A stale configuration serves nothing under the strict policy") {
+TEST_CASE("The strict policy refuses a stale configuration") {
     const StalenessPolicy strict = RefuseStale{};
     CHECK(ClassifyStaleness(strict, 3600, 3600) == Staleness::kFresh);
     CHECK(ClassifyStaleness(strict, 3600, 3601) == Staleness::kUnusable);
     CHECK(ClassifyStaleness(strict, 3600, std::nullopt) == Staleness::kUnusable);
 }
 
-TEST_CASE("A stale configuration serves up to a limit where a late revocation is tolerated") {
+TEST_CASE("The lenient policy accepts a stale configuration up to an age limit") {
     const StalenessPolicy lenient = ServeStale{60000};
     CHECK(ClassifyStaleness(lenient, 3600, 3600) == Staleness::kFresh);
     CHECK(ClassifyStaleness(lenient, 3600, 3601) == Staleness::kStale);
@@ -57,22 +58,22 @@
     CHECK(ClassifyStaleness(lenient, 3600, std::nullopt) == Staleness::kUnusable);
 }
 
-TEST_CASE("A box that was frozen finds its knowledge too old") {
+TEST_CASE("The state of a box that was suspended is too old") {
     StateAge known;
     known.confirm({1000});
     CHECK(ClassifyStaleness(RefuseStale{}, 3600, known.age({2000})) == Staleness::kFresh);
     CHECK(ClassifyStaleness(RefuseStale{}, 3600, known.age({60000})) == Staleness::kUnusable);
 }
 
-TEST_CASE("A watch covers its wait only if it ended without changes and lasted that long") {
+TEST_CASE("A watch confirms its wait only if it ended without changes and lasted that long") {
     CHECK(WatchConfirmedAsOf({100}, {2100}, 2000, true) == MonoTime{2100});
-    // It came late: the store ended it when the wait was over, not when it arrived.
+    // The response is late: it is valid as of the end of the wait, not as of its arrival.
     CHECK(WatchConfirmedAsOf({100}, {9000}, 2000, true) == MonoTime{2100});
     CHECK(WatchConfirmedAsOf({100}, {1500}, 2000, true) == MonoTime{100});
     CHECK(WatchConfirmedAsOf({100}, {2100}, 2000, false) == MonoTime{100});
 }
 
-TEST_CASE("A peer's answer counts from the question, less the age that it tells") {
+TEST_CASE("The reply of a peer is valid as of the query, less the age that it reports") {
     PeerQueries peers;
     const uint64_t round = peers.ask({1000});
     CHECK(peers.stateAsOf(round, 300) == MonoTime{700});
@@ -80,7 +81,7 @@
     CHECK_FALSE(peers.stateAsOf(round + 1, 0).has_value());
 }
 
-TEST_CASE("Questions that were never answered are forgotten") {
+TEST_CASE("Queries that were never answered are dropped") {
     PeerQueries peers;
     const uint64_t first = peers.ask({1});
     for (size_t i = 0; i < PeerQueries::kMaxOpenQueries; ++i) {
@@ -89,9 +90,10 @@
     CHECK_FALSE(peers.stateAsOf(first, 0).has_value());
 }
 
-// Found in the logs of a site of 85 boxes: a box that had lost the store got the whole
-// configuration from all 32 boxes that it asked, over a line that carries it twice a second.
-TEST_CASE("What is newer is fetched from one box at a time") {
+// Guards against a failure on a site of 85 boxes: a box that had lost the store received the whole
+// configuration from all 32 boxes that it queried, over a connection that carries it twice a
+// second.
+TEST_CASE("Newer data is fetched from one box at a time") {
     PeerQueries peers;
     const auto first = peers.startFetch({1000});
     REQUIRE(first.has_value());
@@ -102,14 +104,14 @@
     peers.endFetch(*first);
     const auto second = peers.startFetch({1003});
     REQUIRE(second.has_value());
-    // A box that does not answer is given up on.
+    // A fetch that is not answered is abandoned.
     const auto third = peers.startFetch({1003 + PeerQueries::kFetchTimeoutMs});
     REQUIRE(third.has_value());
     peers.endFetch(*second);
     CHECK_FALSE(peers.startFetch({1004 + PeerQueries::kFetchTimeoutMs}).has_value());
 }
 
-TEST_CASE("Of many boxes some are asked in each round, and all in turn") {
+TEST_CASE("A few of many peers are queried in each round, all of them in rotation") {
     PeerQueries queries;
     std::vector<std::string> peers;
     for (int i = 0; i < 30; ++i) {
@@ -126,7 +128,7 @@
     CHECK(queries.nextPeers(peers) == peers);
 }
 
-TEST_CASE("Boxes whose watches ended together do not stay equally old") {
+TEST_CASE("The state of boxes whose watches ended together does not stay equally old") {
     constexpr Millis kMaxWaitMs = 2000;
     constexpr int kBoxes = 6;
     constexpr MonoTime kEnd{60000};
@@ -160,7 +162,7 @@
     CHECK(sum / samples < kMaxWaitMs / 6);
 }
 
-TEST_CASE("A staggered wait needs no least length") {
+TEST_CASE("A staggered wait may be arbitrarily short") {
     CHECK(StaggeredWait(0, 7) == 0);
     CHECK(StaggeredWait(1, 7) == 1);
 }
