--- a/tests/RefreshPlannerTest.cpp
+++ b/tests/RefreshPlannerTest.cpp
@@ -8,14 +8,15 @@
 
 using namespace onyx;
 
-// Who calls the store on a site of many boxes, and how old their knowledge gets meanwhile. The aim:
-// calls grow with the zones and with what happens, not with the boxes; below 1,200 on a quiet day
-// of 48 s and 4,000 on one with trouble, at 295 boxes. The bounds on knowledge hold meanwhile.
+// Tests which boxes of a large site call the store and how old their state gets. Calls have to grow
+// with the number of zones and of events, not with the number of boxes: below 1,200 on a quiet day
+// of 48 s and below 4,000 on a day with faults, at 295 boxes, while the bounds on the age of state
+// hold.
 
 namespace {
 
 constexpr Millis kDayMs = 48000;
-constexpr Millis kMaxAgeMs = 3600;  // The shorter one: a configuration is fresh up to it.
+constexpr Millis kMaxAgeMs = 3600;  // The shorter bound: a configuration is fresh up to this age.
 constexpr Millis kSettlingTimeMs = 10000;
 
 std::vector<size_t> AllOf(size_t boxes) {
@@ -26,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("A quiet day's calls grow with the zones, not with the boxes") {
+TEST_CASE("The calls of a quiet day grow with the number of zones, not of boxes") {
     const size_t boxes = GENERATE(90, 295, 340);
     RefreshSimulation site({boxes, 5, 4000, 3600}, 1);
     site.run(3000);
@@ -37,7 +38,7 @@
     CHECK(site.takeMaxAge() <= kMaxAgeMs);
 }
 
-TEST_CASE("Every box that starts is served by its neighbours, at once or by its own call") {
+TEST_CASE("A box that restarts gets state from its neighbours at once, or by its own call") {
     RefreshSimulation site({295, 5, 4000, 3600}, 2);
     site.run(kSettlingTimeMs);
     const size_t before = site.calls();
@@ -51,22 +52,22 @@
     CHECK(site.calls() - before <= 300);
 }
 
-// Pattern: all boxes lose power at the same moment while callers go on calling.
-// Grounds: a box that waits for others that know nothing refuses meanwhile; two calls are worth
-// less than the requests of a second.
-TEST_CASE("All boxes killed at once know enough again within half a second of their start") {
+// All boxes lose power at the same moment while callers continue to send requests. A box that waits
+// for peers without state refuses requests, and two calls cost less than the requests of a second.
+TEST_CASE("After a restart of all boxes each has state within half a second") {
     RefreshSimulation site({295, 5, 4000, 3600}, 3);
     site.run(kSettlingTimeMs);
     const size_t before = site.calls();
     site.kill(AllOf(295), 1000);
     site.run(1000 + 500);
     CHECK(site.olderThan(kMaxAgeMs) == 0);
-    // At most two calls of each box, and those of the watchers.
+    // At most two calls of each box, and the calls of the watchers.
     CHECK(site.calls() - before <= 2 * 295 + 100);
 }
 
-// Pattern: a watcher dies, and all who asked it called the store by themselves for ten seconds.
-TEST_CASE("The loss of all watchers at once makes no box's knowledge old, and few calls") {
+// Guards against a failure after the loss of a watcher: all its followers called the store
+// themselves for 10 s.
+TEST_CASE("The loss of all watchers makes no state too old and costs few calls") {
     RefreshSimulation site({295, 5, 4000, 3600}, 4);
     site.run(kSettlingTimeMs);
     const std::vector<size_t> watchers = site.watchers();
@@ -79,8 +80,8 @@
     CHECK(site.calls() - before <= 600);
 }
 
-// Pattern: the store turns a share of the boxes away, the watchers first, and serves the others.
-TEST_CASE("Boxes that the store turns away are kept young by those that it serves") {
+// The store refuses a share of the boxes, the watchers among them, and serves the others.
+TEST_CASE("Boxes that the store refuses are refreshed by those that it serves") {
     RefreshSimulation site({295, 5, 4000, 3600}, 5);
     site.run(kSettlingTimeMs);
     const std::vector<size_t> watchers = site.watchers();
@@ -94,7 +95,7 @@
     CHECK(site.calls() - before <= 1000);
 }
 
-TEST_CASE("A store that is down is tried by a few boxes at a time, and its return reaches all") {
+TEST_CASE("A few boxes at a time call a failed store, and its recovery reaches all boxes") {
     RefreshSimulation site({295, 5, 4000, 3600}, 6);
     site.run(kSettlingTimeMs);
     const size_t before = site.calls();
@@ -110,7 +111,7 @@
     CHECK(site.calls() - after <= 300);
 }
 
-TEST_CASE("A zone whose boxes lose the store is kept young by the other zones") {
+TEST_CASE("A zone whose boxes lose the store is refreshed by the other zones") {
     RefreshSimulation site({295, 5, 4000, 3600}, 7);
     site.run(kSettlingTimeMs);
     site.takeMaxAge();
@@ -121,7 +122,7 @@
     CHECK(site.calls() - before <= 1000);
 }
 
-TEST_CASE("In zones of few boxes each watches, and none waits for others when it starts") {
+TEST_CASE("In small zones every box watches the store, and none waits for peers at its start") {
     RefreshSimulation site({7, 3, 2000, 3600}, 8);
     site.run(2000);
     CHECK(site.olderThan(kMaxAgeMs) == 0);
