--- a/tests/StoreCallPolicyTest.cpp
+++ b/tests/StoreCallPolicyTest.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kStaleAgeMs = 5000;
 constexpr size_t kBoxes = 295;
 
-// A box of a large zone, some places behind its watcher.
+// Inputs of a box of a large zone, some ranks after its watcher.
 StoreCallInputs FollowerInputs(std::optional<Millis> age) {
     StoreCallInputs inputs;
     inputs.rank = 10;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("A box whose knowledge is young calls the store only where it watches for others") {
+TEST_CASE("A box with fresh state calls the store only if it is a watcher or its zone is small") {
     StoreCallPolicy policy(StoreCallSettings{}, kStart, 1);
     StoreCallInputs inputs = FollowerInputs(kFreshAgeMs);
     CHECK(policy.decide(inputs, kStart) == StoreCallDecision{false, StoreCallReason::kFreshAgeMs});
@@ -41,35 +41,35 @@
     CHECK(policy.decide(inputs, kStart) == StoreCallDecision{true, StoreCallReason::kWatcher});
 }
 
-TEST_CASE("A box that just started waits for others' answers, a seed does not") {
+TEST_CASE("A box that just started waits for replies of its peers, a seed does not") {
     const StoreCallSettings settings;
     StoreCallPolicy policy(settings, kStart, 1);
     StoreCallInputs inputs = FollowerInputs(std::nullopt);
     CHECK(policy.decide(inputs, kStart + settings.minStartWait - 1).reason ==
           StoreCallReason::kStarting);
-    // Where nobody could be served, it waits for longer.
+    // It waits longer while no request could be served.
     inputs.idle = true;
     CHECK_FALSE(policy.decide(inputs, kStart + settings.maxStartWait).calls);
     CHECK(policy.decide(inputs, kStart + settings.maxStartWait * settings.idleFactor).calls);
     inputs.idle = false;
-    // Others that know nothing either, after the loss of all boxes, keep it from nothing.
+    // Peers without state, after a restart of all boxes, do not delay its calls.
     ReportFromAll(policy, std::nullopt, kStart);
     CHECK(policy.decide(inputs, kStart + settings.maxStartWait) ==
           StoreCallDecision{true, StoreCallReason::kFirst});
-    // Where the store answers nobody it is tried in turn after a while.
+    // If the store responds to no box, boxes call it in turn after a while.
     const MonoTime later = kStart + settings.maxStartWait + settings.freeCallPeriod;
     ReportFromAll(policy, std::nullopt, later);
     CHECK(policy.decide(inputs, later).reason == StoreCallReason::kAwaitsTurn);
     inputs.isSeed = true;
     CHECK(policy.decide(inputs, kStart).calls);
-    // Until all know who watches, the seeds do.
+    // Until all boxes have discovered the watchers, the seeds call the store.
     inputs.age = kFreshAgeMs;
     CHECK(policy.decide(inputs, kStart).calls);
     inputs.discovered = true;
     CHECK_FALSE(policy.decide(inputs, kStart).calls);
 }
 
-TEST_CASE("A box that nobody answers calls the store as soon as its knowledge is old") {
+TEST_CASE("A box without replies calls the store as soon as its state is too old") {
     const StoreCallSettings settings;
     StoreCallPolicy policy(settings, kStart, 1);
     CHECK_FALSE(policy.decide(FollowerInputs(settings.maxAge), kStart).calls);
@@ -77,21 +77,21 @@
     StoreCallInputs cutOff = FollowerInputs(kFreshAgeMs);
     cutOff.links = 0;
     CHECK(policy.decide(cutOff, kStart) == StoreCallDecision{true, StoreCallReason::kAlone});
-    // What was said long ago is no word on the store as it is now.
+    // An old report does not show that the store fails now.
     ReportFromAll(policy, kStaleAgeMs, kStart);
     CHECK_FALSE(policy.decide(FollowerInputs(kStaleAgeMs), kStart).calls);
     CHECK(policy.decide(FollowerInputs(kStaleAgeMs), kStart + 2000) ==
           StoreCallDecision{true, StoreCallReason::kAlone});
 }
 
-TEST_CASE("Boxes that know young things are no witnesses of trouble") {
+TEST_CASE("Peers with fresh state do not count as reports of a failing store") {
     StoreCallPolicy policy(StoreCallSettings{}, kStart, 1);
     ReportFromAll(policy, kStaleAgeMs, kStart);
     ReportFromAll(policy, kFreshAgeMs, kStart);
     CHECK(policy.decide(FollowerInputs(kStaleAgeMs), kStart).reason == StoreCallReason::kAlone);
 }
 
-TEST_CASE("The next in order try at once where the watchers know nothing young") {
+TEST_CASE("The next boxes in order call at once if the watchers have no fresh state") {
     const StoreCallSettings settings;
     for (size_t rank = 0; rank < 10; ++rank) {
         StoreCallPolicy policy(settings, kStart, 7);
@@ -103,10 +103,10 @@
     }
 }
 
-// Seen: on days when the store is down or refuses, its calls came from all boxes: 295 boxes, two
-// lists each, every 0.8 to 1.6 s. Pattern: one cause, seen by all at the same moment.
-// Grounds: refused calls are priced like others, and one box that gets an answer tells all others.
-TEST_CASE("While the store answers nobody, the boxes of a site try in turn") {
+// Guards against a failure on days when the store is down or refuses: all 295 boxes called it, for
+// two lists each, every 0.8 to 1.6 s, since all detect one cause at the same moment. Refused calls
+// cost as much as others, and one box that gets a response forwards it to all others.
+TEST_CASE("While the store responds to no box, the boxes of a site call it in turn") {
     constexpr Millis kOutageMs = 60000;
     constexpr Millis kStepMs = 100;
     size_t tries = 0;
@@ -124,13 +124,13 @@
         }
         boxesThatTried += tried ? 1 : 0;
     }
-    // In all at most 25 a second, where it was 180 to 370.
+    // At most 25 calls per second in all; it was 180 to 370.
     CHECK(tries <= 25 * kOutageMs / 1000);
-    // And nobody gives up: each has tried within two rounds.
+    // No box stops trying: each has tried within two rounds.
     CHECK(boxesThatTried == kBoxes);
 }
 
-TEST_CASE("Trouble that is over is forgotten: the next one begins with a new turn") {
+TEST_CASE("After the store recovered, its next failure begins with a new turn") {
     const StoreCallSettings settings;
     StoreCallPolicy policy(settings, kStart, 3);
     ReportFromAll(policy, kStaleAgeMs, kStart);
