--- a/tests/StorePacingTest.cpp
+++ b/tests/StorePacingTest.cpp
@@ -6,7 +6,7 @@
 
 using namespace onyx;
 
-TEST_CASE("A box that others follow holds short watches and pauses briefly") {
+TEST_CASE("A box with followers holds short watches and makes short pauses") {
     const StorePacingSettings settings;
     const StorePacingInputs followed{true, false, true, 85};
     const StorePacingInputs alone{false, false, true, 85};
@@ -18,15 +18,15 @@
     CHECK(PauseAfterChanges(settings, {false, false, true, 7}) == 7 * settings.pausePerBox);
 }
 
-TEST_CASE("The detour over a watcher fits into the shorter of the two bounds, at any bounds") {
-    constexpr Millis kStepPeriodMs = 100;  // How often a box looks whether it has to call.
+TEST_CASE("Refreshing through a watcher fits into the shorter of any two bounds") {
+    constexpr Millis kStepPeriodMs = 100;  // How often a box decides whether to call.
     for (const Millis drainBound : {600, 1000, 2000, 3000, 4000, 20000}) {
         for (const Millis freshLimit : {700, 2000, 3600}) {
             StorePacingSettings settings;
             const FollowerBounds bounds = FitFollowers(drainBound, freshLimit, settings);
             const Millis bound = std::min(drainBound, freshLimit);
             CHECK(bounds.leavesTime);
-            // In ordinary times a follower asks nobody else.
+            // In normal operation a follower queries no other peer.
             CHECK(settings.followedWait + settings.followPeriod < bounds.peerQueryAge);
             CHECK(bounds.peerQueryAge < bounds.maxAge);
             CHECK(bounds.maxAge + kStepPeriodMs < bound);
@@ -37,7 +37,7 @@
     CHECK_FALSE(FitFollowers(500, 4000, settings).leavesTime);
 }
 
-TEST_CASE("A failing store is asked rarely by a box that can serve, and never less than doubled") {
+TEST_CASE("A box that can serve calls a failing store rarely, and its pauses never get shorter") {
     const StorePacingInputs serving{false, false, true, 7};
     const StorePacingInputs refusing{false, false, false, 7};
     const Millis relaxed = MaxPauseAfterFailure(serving);
@@ -52,13 +52,13 @@
     }
     CHECK(pause == relaxed);
     CHECK(PauseAfterFailure(pause, refusing) == urgent);
-    // Where others know nothing either, a second try at once would find the same.
+    // If no peer has fresh state, an immediate second try would fail as well.
     CHECK(PauseAfterFailure(0, {false, true, true, 295}) >= urgent);
     CHECK(PauseAfterFailure(0, serving) < urgent);
 }
 
 TEST_CASE(
-    "Others are asked as soon as one of the two lists is older than the store would leave it") {
+    "The store is overdue as soon as one of the two lists is older than its responses leave it") {
     const StorePacingSettings settings;
     CHECK_FALSE(IsOverdue(settings, {settings.configurationWait, settings.upstreamWait}));
     CHECK(IsOverdue(settings, {settings.configurationWait * 2, settings.upstreamWait}));
