--- a/tests/WatcherSelectorTest.cpp
+++ b/tests/WatcherSelectorTest.cpp
@@ -21,7 +21,7 @@
     return zone;
 }
 
-// A box that asks the first one of its zone.
+// A box that queries the first box of its zone.
 struct Follower {
     std::vector<std::string> zone = Zone(8);
     WatcherSelector delegation{WatcherSelectorSettings{}};
@@ -40,7 +40,7 @@
     }
 }
 
-TEST_CASE("In a large zone a few boxes watch, and the others spread over them") {
+TEST_CASE("In a large zone a few boxes watch the store, and the others are spread over them") {
     const auto zone = Zone(68);
     WatcherSelectorSettings settings;
     settings.boxesPerWatcher = 16;
@@ -61,9 +61,12 @@
     }
 }
 
-// Found in the logs of a site of 85 boxes: a watcher whose long watch was under way when its first
-// follower asked was old, all left it for 10 s, and without followers it held long watches again.
-TEST_CASE("A watcher that is not fresh yet is asked on, and knows that it is one") {
+// Guards against a failure on a site of 85 boxes: the state of a watcher that held a long watch at
+// the first query of a follower was stale, all followers left it for 10 s, and without followers it
+// held long watches again.
+TEST_CASE(
+    "A watcher whose state is not fresh yet is still queried, and has the watcher role without "
+    "followers") {
     const auto zone = Zone(8);
     WatcherSelector box{WatcherSelectorSettings{}};
     CHECK(box.choose(zone, zone.back(), kAllLinked, kStart) == zone.front());
@@ -78,7 +81,7 @@
     CHECK(box.preferred(zone, zone.back()) == zone.front());
 }
 
-TEST_CASE("A watcher that stays old while others are young is passed over for a while") {
+TEST_CASE("A watcher that stays stale while others are fresh is passed over for a while") {
     const std::optional<Millis> old = GENERATE(std::optional<Millis>{1300}, std::nullopt);
     const WatcherSelectorSettings settings;
     Follower box;
@@ -91,7 +94,7 @@
     CHECK(box.ask(now + settings.passOverTime) == box.zone.front());
 }
 
-TEST_CASE("A watcher that is old is kept where others know no better, or it was so for a moment") {
+TEST_CASE("A stale watcher is kept if others are stale too, or if it was stale only briefly") {
     const WatcherSelectorSettings settings;
     const std::string first = Zone(8).front();
     Follower box;
@@ -104,12 +107,12 @@
     box.delegation.noteReply(first, 200, 100, later + 100);
     box.delegation.noteReply(first, 5000, 100, later + settings.linkTimeout);
     CHECK(box.ask(later + settings.linkTimeout) == first);
-    // What another box says is no word on the watcher.
+    // The reply of another box does not count for the watcher.
     box.delegation.noteReply("box-107", 5000, 100, later + 3 * settings.linkTimeout);
     CHECK(box.ask(later + 3 * settings.linkTimeout) == first);
 }
 
-TEST_CASE("A box whose link to its watcher is gone asks none, and may ask another") {
+TEST_CASE("A box without a link to its watcher queries none, and may query another one") {
     Follower box;
     const auto none = [](const std::string&) { return false; };
     CHECK(box.delegation.choose(box.zone, box.zone.back(), none, kStart).empty());
@@ -117,7 +120,7 @@
     CHECK(box.ask(kStart) == "box-1");
 }
 
-TEST_CASE("The next box in order stands in for a watcher that is gone, for all alike") {
+TEST_CASE("The next box in order replaces a lost watcher, on all boxes alike") {
     const auto zone = Zone(8);
     const std::string& dead = zone.front();
     const std::string& next = zone[1];
@@ -131,21 +134,21 @@
     CHECK(follower.choose(zone, zone.back(), linked, later) == next);
     CHECK(standIn.choose(zone, next, linked, later).empty());
     CHECK(standIn.isWatcher());
-    // The one that was gone is tried again.
+    // The lost watcher is tried again.
     const MonoTime back = later + WatcherSelectorSettings{}.passOverTime;
     CHECK(follower.choose(zone, zone.back(), kAllLinked, back) == dead);
     CHECK(standIn.choose(zone, next, kAllLinked, back) == dead);
     CHECK_FALSE(standIn.isWatcher());
 }
 
-TEST_CASE("A box that becomes a watcher asks nobody") {
+TEST_CASE("A box that becomes a watcher queries no box") {
     Follower box;
     std::vector<std::string> zone{box.zone.back(), "box-1", "box-2", "box-3", "box-4"};
     CHECK(box.delegation.choose(zone, box.zone.back(), kAllLinked, kStart).empty());
     CHECK(box.delegation.isWatcher());
 }
 
-TEST_CASE("A box knows how many of its zone would stand in before it") {
+TEST_CASE("The rank of a box counts the boxes of its zone that would replace a watcher before it") {
     const auto zone = Zone(8);
     const WatcherSelectorSettings settings;
     const auto linked = [&](const std::string& box) { return box != zone.front(); };
@@ -153,7 +156,7 @@
         WatcherSelector box{settings};
         box.choose(zone, zone[i], kAllLinked, kStart);
         CHECK(box.rank() == i - 1);
-        // The first one is gone: the second watches, and is no deputy.
+        // The first box is gone: the second one is a watcher and does not count as a deputy.
         box.choose(zone, zone[i], linked, kStart + settings.linkTimeout);
         box.choose(zone, zone[i], linked, kStart + 2 * settings.linkTimeout);
         CHECK(box.rank() == (i < 2 ? 0 : i - 2));
