--- a/tests/BoxDirectoryTest.cpp
+++ b/tests/BoxDirectoryTest.cpp
@@ -204,7 +204,7 @@
         CHECK(site.known(i) == kBoxes);
     }
     CHECK(site.maxSightings() <= BoxDirectory::kMaxSightings);
-    // A third of them ends: the others expire these, and no others.
+    // A third of the boxes stop: they expire on the others, and no other box does.
     size_t left = kBoxes;
     for (size_t i = 0; i < kBoxes; i += 3) {
         site.kill(i);
