--- a/include/freshness/StoreCallPolicy.h
+++ b/include/freshness/StoreCallPolicy.h
@@ -98,12 +98,12 @@
     void noteReply(const std::string& from, std::optional<Millis> age, MonoTime now);
 
     // Whether the store may be called now. Preconditions: as above.
-    StoreCallDecision decide(const StoreCallInputs& facts, MonoTime now);
+    StoreCallDecision decide(const StoreCallInputs& inputs, MonoTime now);
 
 private:
-    bool hasStaleReports(const StoreCallInputs& facts, MonoTime now);
-    StoreCallDecision decideByTurn(const StoreCallInputs& facts, MonoTime now);
-    Millis randomBetween(Millis least, Millis most);
+    bool hasStaleReports(const StoreCallInputs& inputs, MonoTime now);
+    StoreCallDecision decideByTurn(const StoreCallInputs& inputs, MonoTime now);
+    Millis randomBetween(Millis min, Millis max);
 
     StoreCallSettings m_settings;
     MonoTime m_started;
--- a/include/membership/BoxDirectory.h
+++ b/include/membership/BoxDirectory.h
@@ -52,8 +52,8 @@
     // Preconditions: maxDialed > 0.
     BoxDirectory(KnownBox self, size_t maxDialed);
 
-    // Adds `box`, which another box reported as seen at `heard`. Preconditions: none.
-    void learn(const KnownBox& box, MonoTime heard);
+    // Adds `box`, which another box reported as seen at `lastSeen`. Preconditions: none.
+    void learn(const KnownBox& box, MonoTime lastSeen);
 
     // Notes that a message of `box` itself arrived.
     // Preconditions: `now` does not decrease from call to call.
--- a/src/freshness/StoreCallPolicy.cpp
+++ b/src/freshness/StoreCallPolicy.cpp
@@ -55,51 +55,51 @@
     }
 }
 
-bool StoreCallPolicy::hasStaleReports(const StoreCallInputs& facts, MonoTime now) {
+bool StoreCallPolicy::hasStaleReports(const StoreCallInputs& inputs, MonoTime now) {
     std::erase_if(m_staleReports, [&](const auto& witness) {
         return now - witness.second > kStaleReportLifetimeMs;
     });
-    const size_t needed = std::min(m_settings.minStaleReports, std::max<size_t>(1, facts.links));
+    const size_t needed = std::min(m_settings.minStaleReports, std::max<size_t>(1, inputs.links));
     return m_staleReports.size() >= needed;
 }
 
-StoreCallDecision StoreCallPolicy::decide(const StoreCallInputs& facts, MonoTime now) {
-    if (facts.isWatcher) {
+StoreCallDecision StoreCallPolicy::decide(const StoreCallInputs& inputs, MonoTime now) {
+    if (inputs.isWatcher) {
         return {true, StoreCallReason::kWatcher};
     }
-    if (facts.inSmallZone) {
+    if (inputs.inSmallZone) {
         return {true, StoreCallReason::kSmallZone};
     }
     // Until the boxes have discovered the watchers, all boxes that started together would otherwise
     // wait for each other until their state is old.
-    if (facts.isSeed && !facts.discovered) {
+    if (inputs.isSeed && !inputs.discovered) {
         return {true, StoreCallReason::kFirst};
     }
-    if (facts.links == 0 && facts.age) {
+    if (inputs.links == 0 && inputs.age) {
         return {true, StoreCallReason::kAlone};
     }
-    if (facts.age && *facts.age <= m_settings.maxAge) {
+    if (inputs.age && *inputs.age <= m_settings.maxAge) {
         m_nextTurn.reset();
         return {false, StoreCallReason::kYoung};
     }
-    const Millis startWait = facts.idle ? m_startWait * m_settings.idleFactor : m_startWait;
-    if (!facts.age && now - m_started < startWait + m_settings.freeCallPeriod) {
+    const Millis startWait = inputs.idle ? m_startWait * m_settings.idleFactor : m_startWait;
+    if (!inputs.age && now - m_started < startWait + m_settings.freeCallPeriod) {
         const bool waits = now - m_started < startWait;
         return {!waits, waits ? StoreCallReason::kStarting : StoreCallReason::kFirst};
     }
-    if (!hasStaleReports(facts, now)) {
+    if (!hasStaleReports(inputs, now)) {
         return {true, StoreCallReason::kAlone};
     }
-    if (facts.rank < m_settings.deputies) {
+    if (inputs.rank < m_settings.deputies) {
         return {true, StoreCallReason::kDeputy};
     }
-    return decideByTurn(facts, now);
+    return decideByTurn(inputs, now);
 }
 
 // The first turn is at a random time within a whole round, so that boxes that lost the store at the
 // same time do not try at the same time. Each later turn follows after half a round to one round.
-StoreCallDecision StoreCallPolicy::decideByTurn(const StoreCallInputs& facts, MonoTime now) {
-    const Millis round = m_settings.turnIntervalPerBox * static_cast<Millis>(facts.boxes);
+StoreCallDecision StoreCallPolicy::decideByTurn(const StoreCallInputs& inputs, MonoTime now) {
+    const Millis round = m_settings.turnIntervalPerBox * static_cast<Millis>(inputs.boxes);
     if (!m_nextTurn) {
         m_nextTurn = now + randomBetween(0, round);
     }
--- a/src/membership/BoxDirectory.cpp
+++ b/src/membership/BoxDirectory.cpp
@@ -50,10 +50,10 @@
     return it->second;
 }
 
-void BoxDirectory::learn(const KnownBox& box, MonoTime heard) {
+void BoxDirectory::learn(const KnownBox& box, MonoTime lastSeen) {
     if (box.address != m_self.address) {
-        Entry& entry = upsert(box, heard);
-        entry.lastSeen = std::max(entry.lastSeen, heard);
+        Entry& entry = upsert(box, lastSeen);
+        entry.lastSeen = std::max(entry.lastSeen, lastSeen);
     }
 }
 
@@ -93,9 +93,9 @@
 }
 
 void BoxDirectory::expire(MonoTime oldest, const std::function<bool(const std::string&)>& keep) {
-    const size_t forgotten = std::erase_if(
+    const size_t expired = std::erase_if(
         m_boxes, [&](const auto& box) { return box.second.lastSeen < oldest && !keep(box.first); });
-    if (forgotten > 0) {
+    if (expired > 0) {
         rebuildRing();
     }
 }
--- a/tests/RefreshSimulation.cpp
+++ b/tests/RefreshSimulation.cpp
@@ -103,7 +103,7 @@
     return m_now - std::min(*box.asOf[0], *box.asOf[1]);
 }
 
-StorePacingInputs RefreshSimulation::factsOf(const Box& box) const {
+StorePacingInputs RefreshSimulation::pacingInputsOf(const Box& box) const {
     const bool canServe = box.asOf[0] && m_now - *box.asOf[0] <= m_size.freshLimit;
     return {box.planner->watchesForOthers(m_now), box.planner->reliesOnPeers(), canServe,
             m_size.boxes};
@@ -141,11 +141,11 @@
     const RefreshPlan step = box.planner->step(inputs, m_now);
     box.storeCall = step.storeCall;
     if (step.queriesWatcher) {
-        ask(i, m_byName[step.watcher], true);
+        queryPeer(i, m_byName[step.watcher], true);
     }
     if (step.queriesPeers) {
         for (const std::string& name : box.questions.nextPeers(linked)) {
-            ask(i, m_byName[name], false);
+            queryPeer(i, m_byName[name], false);
         }
     }
     for (const int kind : {0, 1}) {
@@ -162,18 +162,18 @@
     });
 }
 
-void RefreshSimulation::ask(size_t from, size_t to, bool follows) {
+void RefreshSimulation::queryPeer(size_t from, size_t to, bool follows) {
     const MonoTime sent = m_now;
     const uint64_t incarnation = m_boxes[from]->incarnation;
     at(kNetworkDelayMs, [this, from, to, follows, sent, incarnation] {
-        Box& asked = *m_boxes[to];
-        if (!asked.running) {
+        Box& queried = *m_boxes[to];
+        if (!queried.running) {
             return;
         }
         if (follows) {
-            asked.planner->noteFollowerQuery(m_now);
+            queried.planner->noteFollowerQuery(m_now);
         }
-        const auto age = ageOf(asked);
+        const auto age = ageOf(queried);
         at(kNetworkDelayMs, [this, from, to, sent, age, incarnation] {
             Box& box = *m_boxes[from];
             if (!box.running || box.incarnation != incarnation) {
@@ -202,7 +202,7 @@
     ++m_calls;
     const MonoTime sent = m_now;
     if (m_refused.contains(i)) {
-        box.pause[kind] = PauseAfterFailure(box.pause[kind], factsOf(box));
+        box.pause[kind] = PauseAfterFailure(box.pause[kind], pacingInputsOf(box));
         at(kStoreDelayMs + randomBetween(box.pause[kind] / 2, box.pause[kind]),
            [this, i, kind, incarnation] {
                if (m_boxes[i]->incarnation == incarnation) {
@@ -212,7 +212,7 @@
         return;
     }
     const Millis wait = kind == 0 ? m_pacing.configurationWait : m_pacing.upstreamWait;
-    const Millis most = WatchWait(m_pacing, factsOf(box), wait);
+    const Millis most = WatchWait(m_pacing, pacingInputsOf(box), wait);
     const Millis held = box.confirmed[kind] ? (kind == 0 ? StaggeredWait(most, m_random()) : most)
                                             : std::min(kMinWatchWaitMs, most);
     at(kStoreDelayMs + held, [this, i, kind, incarnation, sent, held] {
--- a/tests/RefreshSimulation.h
+++ b/tests/RefreshSimulation.h
@@ -66,9 +66,9 @@
     void at(Millis delay, Action action);
     void start(size_t i);
     void step(size_t i);
-    void ask(size_t from, size_t to, bool follows);
+    void queryPeer(size_t from, size_t to, bool follows);
     void callStore(size_t i, int kind);
-    StorePacingInputs factsOf(const Box& box) const;
+    StorePacingInputs pacingInputsOf(const Box& box) const;
     std::optional<Millis> ageOf(const Box& box) const;
     Millis randomBetween(Millis least, Millis most);
 
