--- a/include/freshness/StorePacing.h
+++ b/include/freshness/StorePacing.h
@@ -27,14 +27,14 @@
     Millis pausePerBox = 8;       // Pause between changes of upstreams and the next watch: this for
     Millis maxChangePause = 500;  // each box of the site, limited to this.
     Millis followPeriod = 333;    // Interval of the queries of a follower to its watcher.
-    Millis followedPause = 125;   // The same pause of a box that others follow.
+    Millis followedPause = 125;   // Pause after changes of upstreams, of a box that others follow.
     Millis followedWait = 500;    // Longest wait of a watch of a box that others follow.
 };
 
 // The part of a bound on the age of state that refreshing through peers uses; see StoreCallPolicy.
 struct FollowerBounds {
-    Millis peerQueryAge = 1000;  // Older state: a box queries more peers.
-    Millis maxAge = 1300;        // Older state: a box calls the store.
+    Millis peerQueryAge = 1000;  // Beyond this age of its state, a box queries more peers.
+    Millis maxAge = 1300;        // Beyond this age of its state, a box calls the store.
     bool leavesTime = true;      // Whether the bound leaves time for refreshing through a watcher.
 };
 
