--- a/include/freshness/StoreCallPolicy.h
+++ b/include/freshness/StoreCallPolicy.h
@@ -112,8 +112,8 @@
     // Peers that reported state older than peerQueryAge, and when. The state of all boxes gets old
     // together: if only state older than maxAge counted, no box would get enough reports in time.
     std::map<std::string, MonoTime> m_staleReports;
-    std::optional<MonoTime>
-        m_nextTurn;  // When this box may try next; nothing while the store works.
+    // When this box may try next; nothing while the store responds.
+    std::optional<MonoTime> m_nextTurn;
 };
 
 }  // namespace onyx
