--- a/include/freshness/WatcherSelector.h
+++ b/include/freshness/WatcherSelector.h
@@ -86,8 +86,8 @@
     size_t m_rank = 0;
     std::string m_preferred;   // The preferred watcher, linked or not.
     MonoTime m_unlinkedSince;  // Since when it is preferred and not linked.
-    std::optional<MonoTime>
-        m_staleSince;  // Since when the watcher is stale while this box is fresh.
+    // Since when the state of the watcher is stale while that of this box is fresh.
+    std::optional<MonoTime> m_staleSince;
     std::map<std::string, MonoTime> m_passedOver;  // Until when a box is passed over, by address.
 };
 
