--- a/src/freshness/StorePacing.cpp
+++ b/src/freshness/StorePacing.cpp
@@ -20,9 +20,10 @@
 constexpr Millis kFollowedPauseDivisor = 16;
 // Changes of upstreams may be delayed by this part of the drain bound.
 constexpr Millis kChangePauseDivisor = 4;
-constexpr Millis kMinFollowBoundMs =
-    600;  // A shorter bound leaves no time for refreshing through a watcher.
-constexpr Millis kMaxFollowBoundMs = 4000;  // A longer bound is treated as this one.
+// A bound shorter than the first leaves no time for refreshing through a watcher; one longer than
+// the second is treated as the second.
+constexpr Millis kMinFollowBoundMs = 600;
+constexpr Millis kMaxFollowBoundMs = 4000;
 
 // Every call of every box adds load to a failing store. A box that can serve without the store
 // calls it rarely; a box that has to refuse requests because its state is too old calls it often.
