--- a/tests/RefreshPlannerTest.cpp
+++ b/tests/RefreshPlannerTest.cpp
@@ -80,7 +80,7 @@
     CHECK(site.calls() - before <= 600);
 }
 
-// The store refuses a share of the boxes, the watchers among them, and serves the others.
+// The store refuses a share of the boxes, including all watchers, and serves the others.
 TEST_CASE("Boxes that the store refuses are refreshed by those that it serves") {
     RefreshSimulation site({295, 5, 4000, 3600}, 5);
     site.run(kSettlingTimeMs);
