--- a/tests/StoreCallPolicyTest.cpp
+++ b/tests/StoreCallPolicyTest.cpp
@@ -34,7 +34,7 @@
 TEST_CASE("A box with fresh state calls the store only if it is a watcher or its zone is small") {
     StoreCallPolicy policy(StoreCallSettings{}, kStart, 1);
     StoreCallInputs inputs = FollowerInputs(kFreshAgeMs);
-    CHECK(policy.decide(inputs, kStart) == StoreCallDecision{false, StoreCallReason::kFreshAgeMs});
+    CHECK(policy.decide(inputs, kStart) == StoreCallDecision{false, StoreCallReason::kYoung});
     inputs.inSmallZone = true;
     CHECK(policy.decide(inputs, kStart) == StoreCallDecision{true, StoreCallReason::kSmallZone});
     inputs.isWatcher = true;
@@ -137,7 +137,7 @@
     CHECK(policy.decide(FollowerInputs(kStaleAgeMs), kStart).reason ==
           StoreCallReason::kAwaitsTurn);
     CHECK(policy.decide(FollowerInputs(kFreshAgeMs), kStart + 100).reason ==
-          StoreCallReason::kFreshAgeMs);
+          StoreCallReason::kYoung);
     const MonoTime later = kStart + 100000;
     ReportFromAll(policy, kStaleAgeMs, later);
     CHECK(policy.decide(FollowerInputs(kStaleAgeMs), later).reason == StoreCallReason::kAwaitsTurn);
