--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -44,11 +44,11 @@
                                MonoTime now);
 
     // Whether anything waits to be told. Preconditions: none.
-    bool hasNews() const { return waiting() > 0; }
+    bool hasPending() const { return pendingCount() > 0; }
     // Crashes and answers that wait to be told. Preconditions: none.
-    size_t waiting() const {
-        return m_suspects.size() + m_answers.size() + m_singles.size() + m_singleAnswers.size() +
-               m_corrections.size();
+    size_t pendingCount() const {
+        return m_suspectCrashes.size() + m_suspectAnswers.size() + m_singleCrashes.size() +
+               m_singleAnswers.size() + m_corrections.size();
     }
     // The frames of one round, for boxes among `linked`, which know them. `self`: the address of
     // this box. Preconditions: as above; kRound goes by between calls.
@@ -65,11 +65,11 @@
         CrashSighting sighting;
         Origin origin = Origin::kSeen;
     };
-    struct CrashNews {
+    struct PendingCrash {
         CrashSighting sighting;
         int rounds = 0;  // In which it is still told.
     };
-    struct AnswerNews {
+    struct PendingAnswer {
         uint64_t request = 0;
         MonoTime at;
         int rounds = 0;
@@ -95,7 +95,7 @@
     bool learn(const CrashSighting& sighting, Origin origin, MonoTime now);
     void learnAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now);
     void tellAll(uint64_t request, int rounds, MonoTime now);
-    void tellAnswer(const AnswerNews& news);
+    void tellAnswer(const PendingAnswer& news);
     void noteHeard(const CrashSighting& sighting);
     bool isQuarantined(uint64_t request, MonoTime now) const {
         return m_quarantine.timeLeft(request, now).has_value();
@@ -105,18 +105,18 @@
                                             std::span<const std::string> linked, MonoTime now);
     std::vector<OutgoingFrame> takeSingles(const std::string& self,
                                            std::span<const std::string> linked, MonoTime now);
-    void forgetNews();
+    void clearPending();
 
     RequestQuarantine& m_quarantine;
-    std::vector<CrashNews> m_suspects;  // Told to all boxes, as are answers to suspects.
-    std::vector<AnswerNews> m_answers;
+    std::vector<PendingCrash> m_suspectCrashes;  // Told to all boxes, as are answers to suspects.
+    std::vector<PendingAnswer> m_suspectAnswers;
     std::vector<SingleCrash>
-        m_singles;  // Handed on to one box, as are the answers to such requests.
-    std::vector<AnswerNews> m_singleAnswers;
+        m_singleCrashes;  // Handed on to one box, as are the answers to such requests.
+    std::vector<PendingAnswer> m_singleAnswers;
     // Requests of which a box knows less than this one, by the box.
     std::map<std::string, std::set<uint64_t>> m_corrections;
-    MonoTime m_suspectsTold;  // The last time,
-    MonoTime m_routedAt;      // and when single crashes were handed on last.
+    MonoTime m_lastSuspectRound;  // The last time,
+    MonoTime m_lastRouting;       // and when single crashes were handed on last.
     uint64_t m_round = 0;
     Allowance m_forSuspects;
     Allowance m_forSingles;
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -23,11 +23,11 @@
 // meanwhile.
 constexpr int kRounds = 2;
 constexpr int kQuarantineRounds = 4;
-// News wait this long for others, in milliseconds: a frame of one entry costs four times what the
+// Entry wait this long for others, in milliseconds: a frame of one entry costs four times what the
 // entry does.
 constexpr Millis kSuspectPeriod = 200;
 constexpr Millis kRoutePeriod = 200;
-constexpr size_t kMaxNews = 512;  // Of each kind; beyond it the oldest go.
+constexpr size_t kMaxPending = 512;  // Of each kind; beyond it the oldest go.
 // Sightings that a newly linked box is told of: of suspects, and single ones.
 constexpr size_t kMaxGreeting = 512;
 constexpr size_t kMaxSinglesGreeted = 8;
@@ -60,9 +60,9 @@
     reports.answered.emplace_back(request, WireMillis(now - at));
 }
 
-template <class News>
-void Append(std::vector<News>& queue, const News& news) {
-    if (queue.size() >= kMaxNews) {
+template <class Entry>
+void AppendBounded(std::vector<Entry>& queue, const Entry& news) {
+    if (queue.size() >= kMaxPending) {
         queue.erase(queue.begin());
     }
     queue.push_back(news);
@@ -74,9 +74,9 @@
                       [&](const wire::CrashEntry& entry) { return entry.request() == request; }));
 }
 
-template <class News>
-void EndRounds(std::vector<News>& queue) {
-    std::erase_if(queue, [](const News& news) { return news.rounds <= 0; });
+template <class Entry>
+void EraseCompleted(std::vector<Entry>& queue) {
+    std::erase_if(queue, [](const Entry& news) { return news.rounds <= 0; });
 }
 
 }  // namespace
@@ -97,12 +97,12 @@
     }
     // Where all crashes of a request meet, the third is known soonest.
     if (origin == Origin::kSeen || !isSuspect(sighting.request)) {
-        Append(m_singles, {sighting, origin});
+        AppendBounded(m_singleCrashes, {sighting, origin});
     }
     if (learned == Learned::kQuarantine) {
         tellAll(sighting.request, kQuarantineRounds, now);
     } else if (wasSuspect) {
-        Append(m_suspects, {sighting, kRounds});
+        AppendBounded(m_suspectCrashes, {sighting, kRounds});
     } else if (isSuspect(sighting.request)) {
         tellAll(sighting.request, kRounds, now);
     }
@@ -111,10 +111,10 @@
 
 // A box that missed one of the crashes gets it from each box that learns of the next.
 void CrashExchange::tellAll(uint64_t request, int rounds, MonoTime now) {
-    std::erase_if(m_suspects,
-                  [&](const CrashNews& news) { return news.sighting.request == request; });
+    std::erase_if(m_suspectCrashes,
+                  [&](const PendingCrash& news) { return news.sighting.request == request; });
     for (const CrashSighting& sighting : m_quarantine.sightingsOf(request, now)) {
-        Append(m_suspects, {sighting, rounds});
+        AppendBounded(m_suspectCrashes, {sighting, rounds});
     }
 }
 
@@ -134,27 +134,27 @@
         }
         return;
     }
-    const size_t untold = std::erase_if(m_singles, [&](const SingleCrash& news) {
+    const size_t untold = std::erase_if(m_singleCrashes, [&](const SingleCrash& news) {
         return news.sighting.request == request && news.origin == Origin::kSeen;
     });
-    std::erase_if(m_singles,
+    std::erase_if(m_singleCrashes,
                   [&](const SingleCrash& news) { return news.sighting.request == request; });
-    std::erase_if(m_suspects, [&](const CrashNews& news) {
+    std::erase_if(m_suspectCrashes, [&](const PendingCrash& news) {
         return news.sighting.request == request && news.sighting.crashed <= at;
     });
     if (wasSuspect) {
         tellAnswer({request, at, kRounds});
     } else if (untold == 0) {
-        Append(m_singleAnswers, {request, at, 1});
+        AppendBounded(m_singleAnswers, {request, at, 1});
     }
 }
 
-void CrashExchange::tellAnswer(const AnswerNews& news) {
+void CrashExchange::tellAnswer(const PendingAnswer& news) {
     const auto same =
-        std::find_if(m_answers.begin(), m_answers.end(),
-                     [&](const AnswerNews& other) { return other.request == news.request; });
-    if (same == m_answers.end()) {
-        Append(m_answers, news);
+        std::find_if(m_suspectAnswers.begin(), m_suspectAnswers.end(),
+                     [&](const PendingAnswer& other) { return other.request == news.request; });
+    if (same == m_suspectAnswers.end()) {
+        AppendBounded(m_suspectAnswers, news);
     } else {
         same->at = std::max(same->at, news.at);
     }
@@ -186,12 +186,12 @@
 
 // What other boxes tell as well spreads without this one.
 void CrashExchange::noteHeard(const CrashSighting& sighting) {
-    const auto same =
-        std::find_if(m_suspects.begin(), m_suspects.end(), [&](const CrashNews& news) {
+    const auto same = std::find_if(
+        m_suspectCrashes.begin(), m_suspectCrashes.end(), [&](const PendingCrash& news) {
             return news.sighting.request == sighting.request && news.sighting.id == sighting.id;
         });
-    if (same != m_suspects.end() && m_forSuspects.isShort() && --same->rounds <= 0) {
-        m_suspects.erase(same);
+    if (same != m_suspectCrashes.end() && m_forSuspects.isShort() && --same->rounds <= 0) {
+        m_suspectCrashes.erase(same);
     }
 }
 
@@ -225,14 +225,14 @@
                                                        MonoTime now) {
     std::vector<std::string> to =
         DrawBoxes({linked.begin(), linked.end()}, kFanOut, self, ++m_round);
-    const auto isCause = [&](const CrashNews& news) {
+    const auto isCause = [&](const PendingCrash& news) {
         return isQuarantined(news.sighting.request, now);
     };
-    std::erase_if(m_suspects, [&](const CrashNews& news) {
+    std::erase_if(m_suspectCrashes, [&](const PendingCrash& news) {
         return !isCause(news) && now - news.sighting.crashed > kNewsAge;
     });
-    std::stable_sort(m_suspects.begin(), m_suspects.end(),
-                     [&](const CrashNews& a, const CrashNews& b) {
+    std::stable_sort(m_suspectCrashes.begin(), m_suspectCrashes.end(),
+                     [&](const PendingCrash& a, const PendingCrash& b) {
                          return std::make_pair(isCause(a), a.sighting.crashed) >
                                 std::make_pair(isCause(b), b.sighting.crashed);
                      });
@@ -244,20 +244,20 @@
         left -= enough ? kEntryBytes : 0;
         return enough;
     };
-    for (AnswerNews& news : m_answers) {
+    for (PendingAnswer& news : m_suspectAnswers) {
         if (pays(reserve)) {
             AddAnswer(news.request, news.at, now, reports);
             --news.rounds;
         }
     }
-    for (CrashNews& news : m_suspects) {
+    for (PendingCrash& news : m_suspectCrashes) {
         if (pays(isCause(news) ? 0 : reserve)) {
             AddCrash(news.sighting, now, reports);
             --news.rounds;
         }
     }
-    EndRounds(m_answers);
-    EndRounds(m_suspects);
+    EraseCompleted(m_suspectAnswers);
+    EraseCompleted(m_suspectCrashes);
     if (reports.crashes.empty() && reports.answered.empty()) {
         return {};
     }
@@ -279,19 +279,19 @@
             addTo(byBox[box]);
         }
     };
-    std::stable_sort(m_singles.begin(), m_singles.end(),
+    std::stable_sort(m_singleCrashes.begin(), m_singleCrashes.end(),
                      [](const SingleCrash& a, const SingleCrash& b) {
                          return a.sighting.crashed < b.sighting.crashed;
                      });
-    while (left > 0 && !m_singles.empty()) {
-        const SingleCrash news = m_singles.back();
-        m_singles.pop_back();
+    while (left > 0 && !m_singleCrashes.empty()) {
+        const SingleCrash news = m_singleCrashes.back();
+        m_singleCrashes.pop_back();
         const size_t fanOut = news.origin == Origin::kSeen ? kFirstFanOut : kNextFanOut;
         handOn(news.sighting.request, fanOut,
                [&](auto& reports) { AddCrash(news.sighting, now, reports); });
     }
     while (left > 0 && !m_singleAnswers.empty()) {
-        const AnswerNews news = m_singleAnswers.back();
+        const PendingAnswer news = m_singleAnswers.back();
         m_singleAnswers.pop_back();
         handOn(news.request, kNextFanOut,
                [&](auto& reports) { AddAnswer(news.request, news.at, now, reports); });
@@ -334,7 +334,7 @@
                                                 std::span<const std::string> linked, MonoTime now) {
     if (linked.empty()) {
         // A box that is linked later is greeted with what matters.
-        forgetNews();
+        clearPending();
         return {};
     }
     m_forSuspects.earn(now);
@@ -344,22 +344,22 @@
         allowance.spend(more);
         std::move(more.begin(), more.end(), std::back_inserter(frames));
     };
-    if (now - m_suspectsTold >= kSuspectPeriod) {
+    if (now - m_lastSuspectRound >= kSuspectPeriod) {
         send(takeCorrections(now), m_forSuspects);
         send(takeSuspects(self, linked, now), m_forSuspects);
-        m_suspectsTold = now;
+        m_lastSuspectRound = now;
     }
-    if (now - m_routedAt >= kRoutePeriod) {
+    if (now - m_lastRouting >= kRoutePeriod) {
         send(takeSingles(self, linked, now), m_forSingles);
-        m_routedAt = now;
+        m_lastRouting = now;
     }
     return frames;
 }
 
-void CrashExchange::forgetNews() {
-    m_suspects.clear();
-    m_answers.clear();
-    m_singles.clear();
+void CrashExchange::clearPending() {
+    m_suspectCrashes.clear();
+    m_suspectAnswers.clear();
+    m_singleCrashes.clear();
     m_singleAnswers.clear();
     m_corrections.clear();
 }
--- a/src/gateway/QuarantineController.cpp
+++ b/src/gateway/QuarantineController.cpp
@@ -55,18 +55,18 @@
 
 void QuarantineController::expire(MonoTime now) {
     m_quarantine.expire(now);
-    m_log.quarantineSize(m_quarantine.quarantined(now), m_exchange.waiting());
+    m_log.quarantineSize(m_quarantine.quarantined(now), m_exchange.pendingCount());
 }
 
 void QuarantineController::tell() {
-    if (!m_telling && m_exchange.hasNews()) {
+    if (!m_telling && m_exchange.hasPending()) {
         m_telling = true;
         Spawn(m_io.get_executor(), runRounds());
     }
 }
 
 Task<> QuarantineController::runRounds() {
-    while (m_exchange.hasNews()) {
+    while (m_exchange.hasPending()) {
         const std::vector<std::string> linked = m_mesh.linkedTakingCrashReports();
         const MonoTime now = ReadClocks().mono;
         for (const OutgoingFrame& outgoing : m_exchange.round(m_mesh.address(), linked, now)) {
--- a/tests/CrashExchangeTest.cpp
+++ b/tests/CrashExchangeTest.cpp
@@ -84,7 +84,7 @@
         while (m_now < end) {
             m_now = m_now + CrashExchange::kRound;
             for (const auto& box : m_boxes) {
-                if (box->exchange.hasNews()) {
+                if (box->exchange.hasPending()) {
                     sendRound(*box);
                 }
             }
@@ -392,7 +392,7 @@
     Site site(2, 7);
     site.crash(0, kCrashing);
     CHECK(site.box(0).exchange.round("10.0.0.0:1", {}, site.now()).empty());
-    CHECK_FALSE(site.box(0).exchange.hasNews());
+    CHECK_FALSE(site.box(0).exchange.hasPending());
     wire::CrashReportsT reports;
     reports.crashes.emplace_back(kCrashing, 1, 1, 4294967295U, 4294967295U);
     reports.answered.emplace_back(kCrashing, 4294967295U);
