--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -27,7 +27,7 @@
 // Not thread safe: one task owns it.
 class CrashExchange {
 public:
-    static constexpr Millis kRound = 100;  // Time between two rounds, in milliseconds.
+    static constexpr Millis kRoundPeriod = 100;  // Time between two rounds, in milliseconds.
 
     // Preconditions: the quarantine outlives it.
     explicit CrashExchange(RequestQuarantine& quarantine);
@@ -40,8 +40,8 @@
 
     // Takes in what the box `from` tells; the requests that are in quarantine from now on.
     // Preconditions: as above.
-    std::vector<uint64_t> take(const std::string& from, const wire::CrashReportsT& reports,
-                               MonoTime now);
+    std::vector<uint64_t> handleReports(const std::string& from, const wire::CrashReportsT& reports,
+                                        MonoTime now);
 
     // Whether anything waits to be told. Preconditions: none.
     bool hasPending() const { return pendingCount() > 0; }
@@ -51,13 +51,13 @@
                m_singleAnswers.size() + m_corrections.size();
     }
     // The frames of one round, for boxes among `linked`, which know them. `self`: the address of
-    // this box. Preconditions: as above; kRound goes by between calls.
+    // this box. Preconditions: as above; kRoundPeriod goes by between calls.
     std::vector<OutgoingFrame> round(const std::string& self, std::span<const std::string> linked,
                                      MonoTime now);
 
     // The frame for a newly linked box; nothing if there is nothing to tell.
     // Preconditions: as above.
-    std::optional<std::string> greeting(MonoTime now) const;
+    std::optional<std::string> makeInitialFrame(MonoTime now) const;
 
 private:
     enum class Origin : uint8_t { kSeen, kTold };  // By this box, by another one.
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -162,8 +162,9 @@
 
 // A box that tells of a crash which an answer has cleared, or of a single crash of a request that
 // is in quarantine here, knows less than this one: it is told.
-std::vector<uint64_t> CrashExchange::take(const std::string& from,
-                                          const wire::CrashReportsT& reports, MonoTime now) {
+std::vector<uint64_t> CrashExchange::handleReports(const std::string& from,
+                                                   const wire::CrashReportsT& reports,
+                                                   MonoTime now) {
     for (const wire::AnsweredEntry& entry : reports.answered) {
         learnAnswer(entry.request(), now - Millis{entry.age_ms()}, Origin::kTold, now);
     }
@@ -364,7 +365,7 @@
     m_corrections.clear();
 }
 
-std::optional<std::string> CrashExchange::greeting(MonoTime now) const {
+std::optional<std::string> CrashExchange::makeInitialFrame(MonoTime now) const {
     wire::CrashReportsT reports;
     size_t singles = 0;
     for (const CrashSighting& sighting : m_quarantine.sightings(kMaxGreeting, now)) {
--- a/src/gateway/QuarantineController.cpp
+++ b/src/gateway/QuarantineController.cpp
@@ -37,13 +37,13 @@
     if (!m_mesh.takesCrashReports(address)) {
         return;
     }
-    if (auto frame = m_exchange.greeting(ReadClocks().mono)) {
+    if (auto frame = m_exchange.makeInitialFrame(ReadClocks().mono)) {
         m_mesh.sendEncoded({{address}, std::move(*frame)});
     }
 }
 
 void QuarantineController::onReports(const std::string& from, const wire::CrashReportsT& reports) {
-    for (const uint64_t fingerprint : m_exchange.take(from, reports, ReadClocks().mono)) {
+    for (const uint64_t fingerprint : m_exchange.handleReports(from, reports, ReadClocks().mono)) {
         noteQuarantined(fingerprint, from);
     }
     tell();
@@ -72,7 +72,7 @@
         for (const OutgoingFrame& outgoing : m_exchange.round(m_mesh.address(), linked, now)) {
             m_mesh.sendEncoded(outgoing);
         }
-        co_await SleepFor(CrashExchange::kRound);
+        co_await SleepFor(CrashExchange::kRoundPeriod);
     }
     m_telling = false;
 }
--- a/tests/CrashExchangeTest.cpp
+++ b/tests/CrashExchangeTest.cpp
@@ -82,7 +82,7 @@
     void play(Millis time) {
         const MonoTime end = m_now + time;
         while (m_now < end) {
-            m_now = m_now + CrashExchange::kRound;
+            m_now = m_now + CrashExchange::kRoundPeriod;
             for (const auto& box : m_boxes) {
                 if (box->exchange.hasPending()) {
                     sendRound(*box);
@@ -98,7 +98,8 @@
         fresh->linked = box(i).linked;
         m_boxes.at(i) = std::move(fresh);
         for (const std::string& neighbour : box(i).linked) {
-            deliver(neighbour, box(m_byAddress.at(neighbour)).exchange.greeting(m_now), box(i));
+            deliver(neighbour, box(m_byAddress.at(neighbour)).exchange.makeInitialFrame(m_now),
+                    box(i));
         }
     }
 
@@ -147,7 +148,7 @@
             // As FrameLink has it: in a buffer of its own, aligned for the frame's structs.
             const std::vector<char> content(frame->begin() + kFrameHeaderSize, frame->end());
             const auto body = DecodeFrame(content).value();
-            to.exchange.take(from, *body.AsCrashReports(), m_now + kDelay);
+            to.exchange.handleReports(from, *body.AsCrashReports(), m_now + kDelay);
         }
     }
 
@@ -396,6 +397,6 @@
     wire::CrashReportsT reports;
     reports.crashes.emplace_back(kCrashing, 1, 1, 4294967295U, 4294967295U);
     reports.answered.emplace_back(kCrashing, 4294967295U);
-    CHECK(site.box(1).exchange.take("10.0.0.0:1", reports, site.now()).empty());
+    CHECK(site.box(1).exchange.handleReports("10.0.0.0:1", reports, site.now()).empty());
     CHECK(site.box(1).quarantine.crashes(kCrashing) == 0);
 }
