--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -60,10 +60,10 @@
     std::optional<std::string> makeInitialFrame(MonoTime now) const;
 
 private:
-    enum class Origin : uint8_t { kSeen, kTold };  // By this box, by another one.
+    enum class Origin : uint8_t { kLocal, kPeer };  // By this box, by another one.
     struct SingleCrash {
         CrashSighting sighting;
-        Origin origin = Origin::kSeen;
+        Origin origin = Origin::kLocal;
     };
     struct PendingCrash {
         CrashSighting sighting;
@@ -92,11 +92,11 @@
     };
 
     bool isSuspect(uint64_t request) const { return m_quarantine.crashes(request) > 1; }
-    bool learn(const CrashSighting& sighting, Origin origin, MonoTime now);
-    void learnAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now);
-    void tellAll(uint64_t request, int rounds, MonoTime now);
-    void tellAnswer(const PendingAnswer& news);
-    void noteHeard(const CrashSighting& sighting);
+    bool recordCrash(const CrashSighting& sighting, Origin origin, MonoTime now);
+    void recordAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now);
+    void queueSightings(uint64_t request, int rounds, MonoTime now);
+    void queueAnswer(const PendingAnswer& news);
+    void noteRedundantReport(const CrashSighting& sighting);
     bool isQuarantined(uint64_t request, MonoTime now) const {
         return m_quarantine.timeLeft(request, now).has_value();
     }
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -82,35 +82,35 @@
 }  // namespace
 
 bool CrashExchange::noteCrash(const CrashSighting& sighting, MonoTime now) {
-    return learn(sighting, Origin::kSeen, now);
+    return recordCrash(sighting, Origin::kLocal, now);
 }
 
 // Where the second crash of a request follows the first, it becomes a suspect, and all boxes are
 // told of both.
-bool CrashExchange::learn(const CrashSighting& sighting, Origin origin, MonoTime now) {
+bool CrashExchange::recordCrash(const CrashSighting& sighting, Origin origin, MonoTime now) {
     using Learned = RequestQuarantine::Learned;
     const bool wasSuspect = isSuspect(sighting.request);
     const bool wasQuarantined = isQuarantined(sighting.request, now);
     const Learned learned = m_quarantine.noteCrash(sighting, now);
-    if (learned == Learned::kNothing || (wasQuarantined && origin == Origin::kTold)) {
+    if (learned == Learned::kNothing || (wasQuarantined && origin == Origin::kPeer)) {
         return false;
     }
     // Where all crashes of a request meet, the third is known soonest.
-    if (origin == Origin::kSeen || !isSuspect(sighting.request)) {
+    if (origin == Origin::kLocal || !isSuspect(sighting.request)) {
         AppendBounded(m_singleCrashes, {sighting, origin});
     }
     if (learned == Learned::kQuarantine) {
-        tellAll(sighting.request, kQuarantineRounds, now);
+        queueSightings(sighting.request, kQuarantineRounds, now);
     } else if (wasSuspect) {
         AppendBounded(m_suspectCrashes, {sighting, kRounds});
     } else if (isSuspect(sighting.request)) {
-        tellAll(sighting.request, kRounds, now);
+        queueSightings(sighting.request, kRounds, now);
     }
     return learned == Learned::kQuarantine;
 }
 
 // A box that missed one of the crashes gets it from each box that learns of the next.
-void CrashExchange::tellAll(uint64_t request, int rounds, MonoTime now) {
+void CrashExchange::queueSightings(uint64_t request, int rounds, MonoTime now) {
     std::erase_if(m_suspectCrashes,
                   [&](const PendingCrash& news) { return news.sighting.request == request; });
     for (const CrashSighting& sighting : m_quarantine.sightingsOf(request, now)) {
@@ -119,23 +119,23 @@
 }
 
 void CrashExchange::noteAnswer(uint64_t request, MonoTime now) {
-    learnAnswer(request, now, Origin::kSeen, now);
+    recordAnswer(request, now, Origin::kLocal, now);
 }
 
 // What an answer clears is not told any more. If no box was told of it, the answer need not be. An
 // answer to a suspect goes on also from boxes that it tells nothing new: others still wait for it.
-void CrashExchange::learnAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now) {
+void CrashExchange::recordAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now) {
     const bool wasSuspect = isSuspect(request);
     const bool isLater = !m_quarantine.answeredSince(request, at);
     const bool cleared = m_quarantine.noteAnswer(request, at, now);
     if (!cleared) {
-        if (origin == Origin::kTold && isLater && m_quarantine.wasSuspect(request)) {
-            tellAnswer({request, at, kRounds});
+        if (origin == Origin::kPeer && isLater && m_quarantine.wasSuspect(request)) {
+            queueAnswer({request, at, kRounds});
         }
         return;
     }
     const size_t untold = std::erase_if(m_singleCrashes, [&](const SingleCrash& news) {
-        return news.sighting.request == request && news.origin == Origin::kSeen;
+        return news.sighting.request == request && news.origin == Origin::kLocal;
     });
     std::erase_if(m_singleCrashes,
                   [&](const SingleCrash& news) { return news.sighting.request == request; });
@@ -143,13 +143,13 @@
         return news.sighting.request == request && news.sighting.crashed <= at;
     });
     if (wasSuspect) {
-        tellAnswer({request, at, kRounds});
+        queueAnswer({request, at, kRounds});
     } else if (untold == 0) {
         AppendBounded(m_singleAnswers, {request, at, 1});
     }
 }
 
-void CrashExchange::tellAnswer(const PendingAnswer& news) {
+void CrashExchange::queueAnswer(const PendingAnswer& news) {
     const auto same =
         std::find_if(m_suspectAnswers.begin(), m_suspectAnswers.end(),
                      [&](const PendingAnswer& other) { return other.request == news.request; });
@@ -166,7 +166,7 @@
                                                    const wire::CrashReportsT& reports,
                                                    MonoTime now) {
     for (const wire::AnsweredEntry& entry : reports.answered) {
-        learnAnswer(entry.request(), now - Millis{entry.age_ms()}, Origin::kTold, now);
+        recordAnswer(entry.request(), now - Millis{entry.age_ms()}, Origin::kPeer, now);
     }
     std::vector<uint64_t> quarantined;
     for (const wire::CrashEntry& entry : reports.crashes) {
@@ -177,8 +177,8 @@
             (isQuarantined(entry.request(), now) && CrashesOf(entry.request(), reports) == 1)) {
             m_corrections[from].insert(entry.request());
         }
-        noteHeard(sighting);
-        if (learn(sighting, Origin::kTold, now)) {
+        noteRedundantReport(sighting);
+        if (recordCrash(sighting, Origin::kPeer, now)) {
             quarantined.push_back(entry.request());
         }
     }
@@ -186,7 +186,7 @@
 }
 
 // What other boxes tell as well spreads without this one.
-void CrashExchange::noteHeard(const CrashSighting& sighting) {
+void CrashExchange::noteRedundantReport(const CrashSighting& sighting) {
     const auto same = std::find_if(
         m_suspectCrashes.begin(), m_suspectCrashes.end(), [&](const PendingCrash& news) {
             return news.sighting.request == sighting.request && news.sighting.id == sighting.id;
@@ -226,33 +226,33 @@
                                                        MonoTime now) {
     std::vector<std::string> to =
         DrawBoxes({linked.begin(), linked.end()}, kFanOut, self, ++m_round);
-    const auto isCause = [&](const PendingCrash& news) {
+    const auto isInQuarantine = [&](const PendingCrash& news) {
         return isQuarantined(news.sighting.request, now);
     };
     std::erase_if(m_suspectCrashes, [&](const PendingCrash& news) {
-        return !isCause(news) && now - news.sighting.crashed > kNewsAge;
+        return !isInQuarantine(news) && now - news.sighting.crashed > kNewsAge;
     });
     std::stable_sort(m_suspectCrashes.begin(), m_suspectCrashes.end(),
                      [&](const PendingCrash& a, const PendingCrash& b) {
-                         return std::make_pair(isCause(a), a.sighting.crashed) >
-                                std::make_pair(isCause(b), b.sighting.crashed);
+                         return std::make_pair(isInQuarantine(a), a.sighting.crashed) >
+                                std::make_pair(isInQuarantine(b), b.sighting.crashed);
                      });
     wire::CrashReportsT reports;
     double left = m_forSuspects.left() / static_cast<double>(to.size()) - kFrameBytes;
     const double reserve = kCauseReserve / static_cast<double>(to.size());
-    const auto pays = [&](double kept) {
+    const auto reserveEntry = [&](double kept) {
         const bool enough = left - kEntryBytes >= kept;
         left -= enough ? kEntryBytes : 0;
         return enough;
     };
     for (PendingAnswer& news : m_suspectAnswers) {
-        if (pays(reserve)) {
+        if (reserveEntry(reserve)) {
             AddAnswer(news.request, news.at, now, reports);
             --news.rounds;
         }
     }
     for (PendingCrash& news : m_suspectCrashes) {
-        if (pays(isCause(news) ? 0 : reserve)) {
+        if (reserveEntry(isInQuarantine(news) ? 0 : reserve)) {
             AddCrash(news.sighting, now, reports);
             --news.rounds;
         }
@@ -274,7 +274,7 @@
                                                       MonoTime now) {
     std::map<std::string, wire::CrashReportsT> byBox;
     double left = m_forSingles.left();
-    const auto handOn = [&](uint64_t request, size_t fanOut, const auto& addTo) {
+    const auto routeEntry = [&](uint64_t request, size_t fanOut, const auto& addTo) {
         for (const std::string& box : CloserBoxes(linked, self, request, fanOut)) {
             left -= kEntryBytes + (byBox.contains(box) ? 0 : kFrameBytes);
             addTo(byBox[box]);
@@ -287,15 +287,15 @@
     while (left > 0 && !m_singleCrashes.empty()) {
         const SingleCrash news = m_singleCrashes.back();
         m_singleCrashes.pop_back();
-        const size_t fanOut = news.origin == Origin::kSeen ? kFirstFanOut : kNextFanOut;
-        handOn(news.sighting.request, fanOut,
-               [&](auto& reports) { AddCrash(news.sighting, now, reports); });
+        const size_t fanOut = news.origin == Origin::kLocal ? kFirstFanOut : kNextFanOut;
+        routeEntry(news.sighting.request, fanOut,
+                   [&](auto& reports) { AddCrash(news.sighting, now, reports); });
     }
     while (left > 0 && !m_singleAnswers.empty()) {
         const PendingAnswer news = m_singleAnswers.back();
         m_singleAnswers.pop_back();
-        handOn(news.request, kNextFanOut,
-               [&](auto& reports) { AddAnswer(news.request, news.at, now, reports); });
+        routeEntry(news.request, kNextFanOut,
+                   [&](auto& reports) { AddAnswer(news.request, news.at, now, reports); });
     }
     std::vector<OutgoingFrame> frames;
     frames.reserve(byBox.size());
