--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -76,19 +76,19 @@
     };
 
     // Bytes that may be sent, earned at a steady rate.
-    class Allowance {
+    class ByteBudget {
     public:
-        explicit Allowance(double bytesPerSecond);
-        void earn(MonoTime now);
+        explicit ByteBudget(double bytesPerSecond);
+        void refill(MonoTime now);
         void spend(std::span<const OutgoingFrame> frames);
         double left() const { return m_left; }
         // Whether little is left of what may be saved.
-        bool isShort() const;
+        bool isLow() const;
 
     private:
         double m_rate;
         double m_left;
-        std::optional<MonoTime> m_earnedAt;
+        std::optional<MonoTime> m_refilledAt;
     };
 
     bool isSuspect(uint64_t request) const { return m_quarantine.crashes(request) > 1; }
@@ -118,8 +118,8 @@
     MonoTime m_lastSuspectRound;  // The last time,
     MonoTime m_lastRouting;       // and when single crashes were handed on last.
     uint64_t m_round = 0;
-    Allowance m_forSuspects;
-    Allowance m_forSingles;
+    ByteBudget m_suspectBudget;
+    ByteBudget m_singleBudget;
 };
 
 }  // namespace onyx
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -34,14 +34,15 @@
 // Bytes a second that a box may send, for suspects and for single crashes, each with its own: after
 // the loss of many upstreams neither is to wait for the other. So many seconds of each may be
 // saved.
-constexpr double kSuspectBytes = 600;
-constexpr double kSingleBytes = 400;
-constexpr double kSecondsSaved = 16;
-// Of what is for suspects, kept for requests in quarantine: many that have nothing to do with the
-// loss of their upstreams are tried again at one that ends in the same moment.
-constexpr double kCauseReserve = 5000;
+constexpr double kSuspectBytesPerSecond = 600;
+constexpr double kSingleBytesPerSecond = 400;
+constexpr double kMaxSavedSeconds = 16;
+// Of what is for suspects, reservedBytes for requests in quarantine: many that have nothing to do
+// with the loss of their upstreams are tried again at one that ends in the same moment.
+constexpr double kQuarantineReserveBytes = 5000;
 constexpr Millis kNewsAge = 5000;  // Older crashes of suspects are not told on.
-constexpr double kPlenty = 0.75;   // Bytes are short when less than this part of them is left.
+constexpr double kLowBudgetShare =
+    0.75;  // Bytes are short when less than this part of them is left.
 // Bytes of a frame without its entries, and of an entry.
 constexpr double kFrameBytes = 80;
 constexpr double kEntryBytes = sizeof(wire::CrashEntry);
@@ -191,29 +192,31 @@
         m_suspectCrashes.begin(), m_suspectCrashes.end(), [&](const PendingCrash& news) {
             return news.sighting.request == sighting.request && news.sighting.id == sighting.id;
         });
-    if (same != m_suspectCrashes.end() && m_forSuspects.isShort() && --same->rounds <= 0) {
+    if (same != m_suspectCrashes.end() && m_suspectBudget.isLow() && --same->rounds <= 0) {
         m_suspectCrashes.erase(same);
     }
 }
 
 CrashExchange::CrashExchange(RequestQuarantine& quarantine)
-    : m_quarantine(quarantine), m_forSuspects(kSuspectBytes), m_forSingles(kSingleBytes) {}
+    : m_quarantine(quarantine),
+      m_suspectBudget(kSuspectBytesPerSecond),
+      m_singleBudget(kSingleBytesPerSecond) {}
 
-CrashExchange::Allowance::Allowance(double bytesPerSecond)
-    : m_rate(bytesPerSecond), m_left(bytesPerSecond * kSecondsSaved) {}
+CrashExchange::ByteBudget::ByteBudget(double bytesPerSecond)
+    : m_rate(bytesPerSecond), m_left(bytesPerSecond * kMaxSavedSeconds) {}
 
-void CrashExchange::Allowance::earn(MonoTime now) {
-    const Millis elapsed = m_earnedAt ? now - *m_earnedAt : 0;
+void CrashExchange::ByteBudget::refill(MonoTime now) {
+    const Millis elapsed = m_refilledAt ? now - *m_refilledAt : 0;
     const double earned = m_rate * static_cast<double>(elapsed) / 1000;
-    m_left = std::min(m_left + earned, m_rate * kSecondsSaved);
-    m_earnedAt = now;
+    m_left = std::min(m_left + earned, m_rate * kMaxSavedSeconds);
+    m_refilledAt = now;
 }
 
-bool CrashExchange::Allowance::isShort() const {
-    return m_left < m_rate * kSecondsSaved * kPlenty;
+bool CrashExchange::ByteBudget::isLow() const {
+    return m_left < m_rate * kMaxSavedSeconds * kLowBudgetShare;
 }
 
-void CrashExchange::Allowance::spend(std::span<const OutgoingFrame> frames) {
+void CrashExchange::ByteBudget::spend(std::span<const OutgoingFrame> frames) {
     for (const OutgoingFrame& outgoing : frames) {
         m_left -= static_cast<double>(outgoing.frame.size() * outgoing.to.size());
     }
@@ -238,10 +241,10 @@
                                 std::make_pair(isInQuarantine(b), b.sighting.crashed);
                      });
     wire::CrashReportsT reports;
-    double left = m_forSuspects.left() / static_cast<double>(to.size()) - kFrameBytes;
-    const double reserve = kCauseReserve / static_cast<double>(to.size());
-    const auto reserveEntry = [&](double kept) {
-        const bool enough = left - kEntryBytes >= kept;
+    double left = m_suspectBudget.left() / static_cast<double>(to.size()) - kFrameBytes;
+    const double reserve = kQuarantineReserveBytes / static_cast<double>(to.size());
+    const auto reserveEntry = [&](double reservedBytes) {
+        const bool enough = left - kEntryBytes >= reservedBytes;
         left -= enough ? kEntryBytes : 0;
         return enough;
     };
@@ -273,7 +276,7 @@
                                                       std::span<const std::string> linked,
                                                       MonoTime now) {
     std::map<std::string, wire::CrashReportsT> byBox;
-    double left = m_forSingles.left();
+    double left = m_singleBudget.left();
     const auto routeEntry = [&](uint64_t request, size_t fanOut, const auto& addTo) {
         for (const std::string& box : CloserBoxes(linked, self, request, fanOut)) {
             left -= kEntryBytes + (byBox.contains(box) ? 0 : kFrameBytes);
@@ -309,7 +312,7 @@
 // of the next crash.
 std::vector<OutgoingFrame> CrashExchange::takeCorrections(MonoTime now) {
     std::vector<OutgoingFrame> frames;
-    double left = m_forSuspects.left();
+    double left = m_suspectBudget.left();
     for (const auto& [box, requests] : m_corrections) {
         wire::CrashReportsT reports;
         for (const uint64_t request : requests) {
@@ -338,20 +341,20 @@
         clearPending();
         return {};
     }
-    m_forSuspects.earn(now);
-    m_forSingles.earn(now);
+    m_suspectBudget.refill(now);
+    m_singleBudget.refill(now);
     std::vector<OutgoingFrame> frames;
-    const auto send = [&](std::vector<OutgoingFrame> more, Allowance& allowance) {
+    const auto send = [&](std::vector<OutgoingFrame> more, ByteBudget& allowance) {
         allowance.spend(more);
         std::move(more.begin(), more.end(), std::back_inserter(frames));
     };
     if (now - m_lastSuspectRound >= kSuspectPeriod) {
-        send(takeCorrections(now), m_forSuspects);
-        send(takeSuspects(self, linked, now), m_forSuspects);
+        send(takeCorrections(now), m_suspectBudget);
+        send(takeSuspects(self, linked, now), m_suspectBudget);
         m_lastSuspectRound = now;
     }
     if (now - m_lastRouting >= kRoutePeriod) {
-        send(takeSingles(self, linked, now), m_forSingles);
+        send(takeSingles(self, linked, now), m_singleBudget);
         m_lastRouting = now;
     }
     return frames;
