--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -14,23 +14,23 @@
 
 namespace {
 
-constexpr size_t kFanOut = 4;  // Boxes that are told of a suspect in one round.
+constexpr size_t kSuspectFanOut = 4;  // Boxes that are told of a suspect in one round.
 // Boxes to which a single crash is handed on, by the box that saw it and by those between.
-constexpr size_t kFirstFanOut = 2;
-constexpr size_t kNextFanOut = 1;
+constexpr size_t kOriginFanOut = 2;
+constexpr size_t kRelayFanOut = 1;
 // Rounds in which a box tells what is new to it of a suspect, and all crashes of a request that is
 // new in quarantine. Where bytes are short, one fewer for each time that another box tells it here
 // meanwhile.
-constexpr int kRounds = 2;
+constexpr int kSuspectRounds = 2;
 constexpr int kQuarantineRounds = 4;
 // Entry wait this long for others, in milliseconds: a frame of one entry costs four times what the
 // entry does.
 constexpr Millis kSuspectPeriod = 200;
-constexpr Millis kRoutePeriod = 200;
+constexpr Millis kRoutingPeriod = 200;
 constexpr size_t kMaxPending = 512;  // Of each kind; beyond it the oldest go.
 // Sightings that a newly linked box is told of: of suspects, and single ones.
-constexpr size_t kMaxGreeting = 512;
-constexpr size_t kMaxSinglesGreeted = 8;
+constexpr size_t kMaxInitialSightings = 512;
+constexpr size_t kMaxInitialSingles = 8;
 // Bytes a second that a box may send, for suspects and for single crashes, each with its own: after
 // the loss of many upstreams neither is to wait for the other. So many seconds of each may be
 // saved.
@@ -40,7 +40,7 @@
 // Of what is for suspects, reservedBytes for requests in quarantine: many that have nothing to do
 // with the loss of their upstreams are tried again at one that ends in the same moment.
 constexpr double kQuarantineReserveBytes = 5000;
-constexpr Millis kNewsAge = 5000;  // Older crashes of suspects are not told on.
+constexpr Millis kMaxSuspectAge = 5000;  // Older crashes of suspects are not told on.
 constexpr double kLowBudgetShare =
     0.75;  // Bytes are short when less than this part of them is left.
 // Bytes of a frame without its entries, and of an entry.
@@ -103,9 +103,9 @@
     if (learned == Learned::kQuarantine) {
         queueSightings(sighting.request, kQuarantineRounds, now);
     } else if (wasSuspect) {
-        AppendBounded(m_suspectCrashes, {sighting, kRounds});
+        AppendBounded(m_suspectCrashes, {sighting, kSuspectRounds});
     } else if (isSuspect(sighting.request)) {
-        queueSightings(sighting.request, kRounds, now);
+        queueSightings(sighting.request, kSuspectRounds, now);
     }
     return learned == Learned::kQuarantine;
 }
@@ -131,7 +131,7 @@
     const bool cleared = m_quarantine.noteAnswer(request, at, now);
     if (!cleared) {
         if (origin == Origin::kPeer && isLater && m_quarantine.wasSuspect(request)) {
-            queueAnswer({request, at, kRounds});
+            queueAnswer({request, at, kSuspectRounds});
         }
         return;
     }
@@ -144,7 +144,7 @@
         return news.sighting.request == request && news.sighting.crashed <= at;
     });
     if (wasSuspect) {
-        queueAnswer({request, at, kRounds});
+        queueAnswer({request, at, kSuspectRounds});
     } else if (untold == 0) {
         AppendBounded(m_singleAnswers, {request, at, 1});
     }
@@ -228,12 +228,12 @@
                                                        std::span<const std::string> linked,
                                                        MonoTime now) {
     std::vector<std::string> to =
-        DrawBoxes({linked.begin(), linked.end()}, kFanOut, self, ++m_round);
+        DrawBoxes({linked.begin(), linked.end()}, kSuspectFanOut, self, ++m_round);
     const auto isInQuarantine = [&](const PendingCrash& news) {
         return isQuarantined(news.sighting.request, now);
     };
     std::erase_if(m_suspectCrashes, [&](const PendingCrash& news) {
-        return !isInQuarantine(news) && now - news.sighting.crashed > kNewsAge;
+        return !isInQuarantine(news) && now - news.sighting.crashed > kMaxSuspectAge;
     });
     std::stable_sort(m_suspectCrashes.begin(), m_suspectCrashes.end(),
                      [&](const PendingCrash& a, const PendingCrash& b) {
@@ -290,14 +290,14 @@
     while (left > 0 && !m_singleCrashes.empty()) {
         const SingleCrash news = m_singleCrashes.back();
         m_singleCrashes.pop_back();
-        const size_t fanOut = news.origin == Origin::kLocal ? kFirstFanOut : kNextFanOut;
+        const size_t fanOut = news.origin == Origin::kLocal ? kOriginFanOut : kRelayFanOut;
         routeEntry(news.sighting.request, fanOut,
                    [&](auto& reports) { AddCrash(news.sighting, now, reports); });
     }
     while (left > 0 && !m_singleAnswers.empty()) {
         const PendingAnswer news = m_singleAnswers.back();
         m_singleAnswers.pop_back();
-        routeEntry(news.request, kNextFanOut,
+        routeEntry(news.request, kRelayFanOut,
                    [&](auto& reports) { AddAnswer(news.request, news.at, now, reports); });
     }
     std::vector<OutgoingFrame> frames;
@@ -353,7 +353,7 @@
         send(takeSuspects(self, linked, now), m_suspectBudget);
         m_lastSuspectRound = now;
     }
-    if (now - m_lastRouting >= kRoutePeriod) {
+    if (now - m_lastRouting >= kRoutingPeriod) {
         send(takeSingles(self, linked, now), m_singleBudget);
         m_lastRouting = now;
     }
@@ -371,8 +371,8 @@
 std::optional<std::string> CrashExchange::makeInitialFrame(MonoTime now) const {
     wire::CrashReportsT reports;
     size_t singles = 0;
-    for (const CrashSighting& sighting : m_quarantine.sightings(kMaxGreeting, now)) {
-        if (isSuspect(sighting.request) || singles++ < kMaxSinglesGreeted) {
+    for (const CrashSighting& sighting : m_quarantine.sightings(kMaxInitialSightings, now)) {
+        if (isSuspect(sighting.request) || singles++ < kMaxInitialSingles) {
             AddCrash(sighting, now, reports);
         }
     }
