--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -50,10 +50,10 @@
         return m_suspectCrashes.size() + m_suspectAnswers.size() + m_singleCrashes.size() +
                m_singleAnswers.size() + m_corrections.size();
     }
-    // The frames of one round, for boxes among `linked`, which know them. `self`: the address of
-    // this box. Preconditions: as above; kRoundPeriod goes by between calls.
-    std::vector<OutgoingFrame> round(const std::string& self, std::span<const std::string> linked,
-                                     MonoTime now);
+    // The frames of one makeRoundFrames, for boxes among `linked`, which know them. `self`: the
+    // address of this box. Preconditions: as above; kRoundPeriod goes by between calls.
+    std::vector<OutgoingFrame> makeRoundFrames(const std::string& self,
+                                               std::span<const std::string> linked, MonoTime now);
 
     // The frame for a newly linked box; nothing if there is nothing to tell.
     // Preconditions: as above.
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr size_t kSuspectFanOut = 4;  // Boxes that are told of a suspect in one round.
+constexpr size_t kSuspectFanOut = 4;  // Boxes that are told of a suspect in one makeRoundFrames.
 // Boxes to which a single crash is handed on, by the box that saw it and by those between.
 constexpr size_t kOriginFanOut = 2;
 constexpr size_t kRelayFanOut = 1;
@@ -222,8 +222,8 @@
     }
 }
 
-// Takes what all boxes are to be told in this round: of requests in quarantine first, then the
-// latest crashes.
+// Takes what all boxes are to be told in this makeRoundFrames: of requests in quarantine first,
+// then the latest crashes.
 std::vector<OutgoingFrame> CrashExchange::takeSuspects(const std::string& self,
                                                        std::span<const std::string> linked,
                                                        MonoTime now) {
@@ -334,8 +334,9 @@
     return frames;
 }
 
-std::vector<OutgoingFrame> CrashExchange::round(const std::string& self,
-                                                std::span<const std::string> linked, MonoTime now) {
+std::vector<OutgoingFrame> CrashExchange::makeRoundFrames(const std::string& self,
+                                                          std::span<const std::string> linked,
+                                                          MonoTime now) {
     if (linked.empty()) {
         // A box that is linked later is greeted with what matters.
         clearPending();
@@ -344,8 +345,8 @@
     m_suspectBudget.refill(now);
     m_singleBudget.refill(now);
     std::vector<OutgoingFrame> frames;
-    const auto send = [&](std::vector<OutgoingFrame> more, ByteBudget& allowance) {
-        allowance.spend(more);
+    const auto send = [&](std::vector<OutgoingFrame> more, ByteBudget& budget) {
+        budget.spend(more);
         std::move(more.begin(), more.end(), std::back_inserter(frames));
     };
     if (now - m_lastSuspectRound >= kSuspectPeriod) {
--- a/src/gateway/QuarantineController.cpp
+++ b/src/gateway/QuarantineController.cpp
@@ -69,7 +69,8 @@
     while (m_exchange.hasPending()) {
         const std::vector<std::string> linked = m_mesh.linkedTakingCrashReports();
         const MonoTime now = ReadClocks().mono;
-        for (const OutgoingFrame& outgoing : m_exchange.round(m_mesh.address(), linked, now)) {
+        for (const OutgoingFrame& outgoing :
+             m_exchange.makeRoundFrames(m_mesh.address(), linked, now)) {
             m_mesh.sendEncoded(outgoing);
         }
         co_await SleepFor(CrashExchange::kRoundPeriod);
--- a/tests/CrashExchangeTest.cpp
+++ b/tests/CrashExchangeTest.cpp
@@ -135,7 +135,8 @@
                      [&](const std::string& address) {
                          return !m_boxes.at(m_byAddress.at(address))->older;
                      });
-        for (const OutgoingFrame& outgoing : box.exchange.round(box.address, linked, m_now)) {
+        for (const OutgoingFrame& outgoing :
+             box.exchange.makeRoundFrames(box.address, linked, m_now)) {
             for (const std::string& to : outgoing.to) {
                 box.bytes += outgoing.frame.size();
                 deliver(box.address, outgoing.frame, *m_boxes.at(m_byAddress.at(to)));
@@ -392,7 +393,7 @@
 TEST_CASE("A box without links keeps no news, and ages of any size are read") {
     Site site(2, 7);
     site.crash(0, kCrashing);
-    CHECK(site.box(0).exchange.round("10.0.0.0:1", {}, site.now()).empty());
+    CHECK(site.box(0).exchange.makeRoundFrames("10.0.0.0:1", {}, site.now()).empty());
     CHECK_FALSE(site.box(0).exchange.hasPending());
     wire::CrashReportsT reports;
     reports.crashes.emplace_back(kCrashing, 1, 1, 4294967295U, 4294967295U);
