--- a/include/gateway/CrashDetector.h
+++ b/include/gateway/CrashDetector.h
@@ -20,7 +20,7 @@
 namespace onyx {
 
 // An attempt that was under way at an upstream when the connection ended.
-struct BrokenAttempt {
+struct InterruptedAttempt {
     std::string request;       // Its id.
     uint64_t fingerprint = 0;  // See RequestFingerprint.
     MonoTime sent;
@@ -30,7 +30,7 @@
 // Not thread safe: one io_context.
 class CrashDetector {
 public:
-    using OnCrash = std::function<void(const Upstream&, std::span<const BrokenAttempt>)>;
+    using OnCrash = std::function<void(const Upstream&, std::span<const InterruptedAttempt>)>;
 
     // `onCrash` gets each crash once, with the attempts of this box that were under way there.
     // Preconditions: the context and the records outlive the detector.
@@ -39,12 +39,12 @@
 
     // The upstream closed the attempt's connection before its answer was whole, or has started
     // again meanwhile. Preconditions: none.
-    void attemptBroke(const Upstream& upstream, BrokenAttempt attempt);
+    void noteInterruptedAttempt(const Upstream& upstream, InterruptedAttempt attempt);
 
 private:
     struct Pending {
         Upstream upstream;
-        std::vector<BrokenAttempt> attempts;
+        std::vector<InterruptedAttempt> attempts;
     };
 
     Task<> look(std::string upstreamId);
--- a/include/gateway/QuarantineController.h
+++ b/include/gateway/QuarantineController.h
@@ -35,8 +35,8 @@
 
     // The upstream ended the connection of a running attempt, or started again meanwhile.
     // Preconditions: none.
-    void attemptBroke(const Upstream& upstream, BrokenAttempt attempt) {
-        m_detector.attemptBroke(upstream, std::move(attempt));
+    void noteInterruptedAttempt(const Upstream& upstream, InterruptedAttempt attempt) {
+        m_detector.noteInterruptedAttempt(upstream, std::move(attempt));
     }
     // An upstream answered the request with success. Preconditions: none.
     void answered(uint64_t fingerprint);
@@ -49,7 +49,7 @@
     void expire(MonoTime now);
 
 private:
-    void noteCrash(const Upstream& upstream, std::span<const BrokenAttempt> attempts);
+    void noteCrash(const Upstream& upstream, std::span<const InterruptedAttempt> attempts);
     void noteQuarantined(uint64_t fingerprint, const std::string& source);
     void tell();
     Task<> runRounds();
--- a/include/gateway/RequestLog.h
+++ b/include/gateway/RequestLog.h
@@ -98,7 +98,7 @@
     void leftOut(const std::string& request, const ExclusionTally& upstreams);
 
     // An upstream crashed with this attempt under way. Preconditions: none.
-    void crashed(const std::string& upstream, const BrokenAttempt& attempt);
+    void crashed(const std::string& upstream, const InterruptedAttempt& attempt);
 
     // A request is in quarantine from now on. `source`: the box that told the last crash, or
     // "here". Preconditions: none.
--- a/src/gateway/CrashDetector.cpp
+++ b/src/gateway/CrashDetector.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void CrashDetector::attemptBroke(const Upstream& upstream, BrokenAttempt attempt) {
+void CrashDetector::noteInterruptedAttempt(const Upstream& upstream, InterruptedAttempt attempt) {
     const auto [it, first] = m_pending.try_emplace(upstream.id, Pending{upstream, {}});
     it->second.attempts.push_back(std::move(attempt));
     if (first) {
--- a/src/gateway/QuarantineController.cpp
+++ b/src/gateway/QuarantineController.cpp
@@ -10,7 +10,7 @@
       m_mesh(mesh),
       m_log(log),
       m_detector(io, records,
-                 [this](const Upstream& upstream, std::span<const BrokenAttempt> attempts) {
+                 [this](const Upstream& upstream, std::span<const InterruptedAttempt> attempts) {
                      noteCrash(upstream, attempts);
                  }) {}
 
@@ -20,9 +20,9 @@
 }
 
 void QuarantineController::noteCrash(const Upstream& upstream,
-                                     std::span<const BrokenAttempt> attempts) {
+                                     std::span<const InterruptedAttempt> attempts) {
     const MonoTime now = ReadClocks().mono;
-    for (const BrokenAttempt& attempt : attempts) {
+    for (const InterruptedAttempt& attempt : attempts) {
         m_log.crashed(upstream.id, attempt);
         const CrashSighting sighting{attempt.fingerprint, static_cast<uint32_t>(m_random()),
                                      ShortHash(upstream.id), attempt.sent, attempt.ended};
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -162,8 +162,8 @@
 
 void RequestHandler::noteBroken(const Upstream& upstream, const AttemptReport& report) {
     const MonoTime now = ReadClocks().mono;
-    m_context.quarantine.attemptBroke(upstream,
-                                      {m_facts.id, fingerprint(), now - report.took, now});
+    m_context.quarantine.noteInterruptedAttempt(
+        upstream, {m_facts.id, fingerprint(), now - report.took, now});
 }
 
 Verdict RequestHandler::judge(AttemptEnd end) {
--- a/src/gateway/RequestLog.cpp
+++ b/src/gateway/RequestLog.cpp
@@ -121,7 +121,7 @@
                                   {"wait_ms", NumberOr(upstreams.wait(), "unknown")}});
 }
 
-void RequestLog::crashed(const std::string& upstream, const BrokenAttempt& attempt) {
+void RequestLog::crashed(const std::string& upstream, const InterruptedAttempt& attempt) {
     m_metrics.count("onyx_upstream_crashes_total");
     logEvent(Event::kUpstreamCrashed, {{"upstream", upstream},
                                        {"request", attempt.request},
