--- a/include/gateway/CrashDetector.h
+++ b/include/gateway/CrashDetector.h
@@ -47,7 +47,7 @@
         std::vector<InterruptedAttempt> attempts;
     };
 
-    Task<> look(std::string upstreamId);
+    Task<> probe(std::string upstreamId);
     Task<bool> isRefused(std::string address);
 
     asio::io_context& m_io;
--- a/src/gateway/CrashDetector.cpp
+++ b/src/gateway/CrashDetector.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 // All times in milliseconds.
-constexpr Millis kSettle = 30;           // Until a process that ends has closed its port too.
-constexpr Millis kConnectTimeout = 300;  // Of one look.
-constexpr int kLooks = 3;                // The packets of a look may be lost.
+constexpr Millis kPortCloseDelay = 30;   // Until a process that ends has closed its port too.
+constexpr Millis kConnectTimeout = 300;  // Of one probe.
+constexpr int kMaxProbes = 3;            // The packets of a probe may be lost.
 
 }  // namespace
 
@@ -24,12 +24,12 @@
     const auto [it, first] = m_pending.try_emplace(upstream.id, Pending{upstream, {}});
     it->second.attempts.push_back(std::move(attempt));
     if (first) {
-        Spawn(m_io.get_executor(), look(upstream.id));
+        Spawn(m_io.get_executor(), probe(upstream.id));
     }
 }
 
-Task<> CrashDetector::look(std::string upstreamId) {
-    co_await SleepFor(kSettle);
+Task<> CrashDetector::probe(std::string upstreamId) {
+    co_await SleepFor(kPortCloseDelay);
     const Upstream upstream = m_pending.at(upstreamId).upstream;
     std::string address = upstream.address;
     const bool refused = co_await isRefused(std::move(address));
@@ -48,7 +48,7 @@
     }
     const Endpoint& endpoint = peer.value();
     beast::error_code ec = beast::error::timeout;
-    for (int i = 0; i < kLooks && ec == beast::error::timeout; ++i) {
+    for (int i = 0; i < kMaxProbes && ec == beast::error::timeout; ++i) {
         beast::tcp_stream stream(m_io);
         stream.expires_after(std::chrono::milliseconds(kConnectTimeout));
         co_await stream.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, ec));
