--- a/include/gateway/QuarantineController.h
+++ b/include/gateway/QuarantineController.h
@@ -1,9 +1,9 @@
 // Keeps requests that crash upstreams from them: gathers the crashes that this box sees and those
-// that other boxes tell of, and says which requests are in quarantine.
+// that other boxes startRounds of, and says which requests are in quarantine.
 //
 // Owns the quarantine and what is told of it. Relies on CrashDetector for what is a crash, on
-// RequestQuarantine for which request is the cause, on CrashExchange for whom to tell, and on
-// PeerMesh for the links.
+// RequestQuarantine for which request is the cause, on CrashExchange for whom to startRounds, and
+// on PeerMesh for the links.
 #pragma once
 
 #include "include/gateway/CrashDetector.h"
@@ -31,7 +31,7 @@
     }
     // Whether any request is suspected; if none is, fingerprints need not be computed.
     // Preconditions: none.
-    bool suspectsAny() const { return !m_quarantine.empty(); }
+    bool hasCrashRecords() const { return !m_quarantine.empty(); }
 
     // The upstream ended the connection of a running attempt, or started again meanwhile.
     // Preconditions: none.
@@ -51,7 +51,7 @@
 private:
     void noteCrash(const Upstream& upstream, std::span<const InterruptedAttempt> attempts);
     void noteQuarantined(uint64_t fingerprint, const std::string& source);
-    void tell();
+    void startRounds();
     Task<> runRounds();
 
     asio::io_context& m_io;
@@ -61,7 +61,7 @@
     RequestQuarantine m_quarantine;
     CrashExchange m_exchange{m_quarantine};
     std::mt19937 m_random{std::random_device{}()};
-    bool m_telling = false;  // Rounds are under way.
+    bool m_roundsRunning = false;  // Rounds are under way.
 };
 
 }  // namespace onyx
--- a/src/gateway/QuarantineController.cpp
+++ b/src/gateway/QuarantineController.cpp
@@ -16,7 +16,7 @@
 
 void QuarantineController::answered(uint64_t fingerprint) {
     m_exchange.noteAnswer(fingerprint, ReadClocks().mono);
-    tell();
+    startRounds();
 }
 
 void QuarantineController::noteCrash(const Upstream& upstream,
@@ -30,7 +30,7 @@
             noteQuarantined(attempt.fingerprint, "here");
         }
     }
-    tell();
+    startRounds();
 }
 
 void QuarantineController::onLinked(const std::string& address) {
@@ -46,7 +46,7 @@
     for (const uint64_t fingerprint : m_exchange.handleReports(from, reports, ReadClocks().mono)) {
         noteQuarantined(fingerprint, from);
     }
-    tell();
+    startRounds();
 }
 
 void QuarantineController::noteQuarantined(uint64_t fingerprint, const std::string& source) {
@@ -58,9 +58,9 @@
     m_log.quarantineSize(m_quarantine.quarantined(now), m_exchange.pendingCount());
 }
 
-void QuarantineController::tell() {
-    if (!m_telling && m_exchange.hasPending()) {
-        m_telling = true;
+void QuarantineController::startRounds() {
+    if (!m_roundsRunning && m_exchange.hasPending()) {
+        m_roundsRunning = true;
         Spawn(m_io.get_executor(), runRounds());
     }
 }
@@ -75,7 +75,7 @@
         }
         co_await SleepFor(CrashExchange::kRoundPeriod);
     }
-    m_telling = false;
+    m_roundsRunning = false;
 }
 
 }  // namespace onyx
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -72,7 +72,7 @@
 }
 
 std::optional<Refusal> RequestHandler::checkQuarantine(MonoTime now) {
-    if (!m_context.quarantine.suspectsAny()) {
+    if (!m_context.quarantine.hasCrashRecords()) {
         return std::nullopt;
     }
     const auto left = m_context.quarantine.timeLeft(fingerprint(), now);
