--- a/include/gateway/LoadExchange.h
+++ b/include/gateway/LoadExchange.h
@@ -33,14 +33,14 @@
                                    MonoTime now);
 
     // Takes in what a digest says of which boxes live. Preconditions: as above.
-    static void TakeSightings(BoxDirectory& boxes, const wire::DigestT& digest, MonoTime now);
+    static void ApplySightings(BoxDirectory& boxes, const wire::DigestT& digest, MonoTime now);
 
     // How long until something may be due again, in milliseconds. Preconditions: none.
     Millis pause() const;
 
     // Whether the box at `address` knows frames of load reports; all do that are not noted here.
     // Preconditions: none.
-    void noteVersion(const std::string& address, bool takesLoadReports);
+    void setLoadReportSupport(const std::string& address, bool takesLoadReports);
 
     // Takes in what the box at `from` tells; other messages are left alone.
     // Preconditions: times do not fall.
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -143,7 +143,7 @@
     return outgoing;
 }
 
-void LoadExchange::noteVersion(const std::string& address, bool takesLoadReports) {
+void LoadExchange::setLoadReportSupport(const std::string& address, bool takesLoadReports) {
     if (takesLoadReports) {
         m_older.erase(address);
     } else {
@@ -183,7 +183,7 @@
     }
 }
 
-void LoadExchange::TakeSightings(BoxDirectory& boxes, const wire::DigestT& digest, MonoTime now) {
+void LoadExchange::ApplySightings(BoxDirectory& boxes, const wire::DigestT& digest, MonoTime now) {
     const size_t count = std::min(digest.sighted.size(), digest.sighted_s.size());
     for (size_t i = 0; i < count; ++i) {
         // Rounded up: each hop may have cut off most of a second.
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -147,7 +147,7 @@
     m_links[address] = {link, now};
     m_links[address].dialed = dialed;
     m_news.linked({address, link->peer().zone});
-    m_exchange.noteVersion(address, link->peer().takes_load_reports);
+    m_exchange.setLoadReportSupport(address, link->peer().takes_load_reports);
     m_boxes->heard({address, link->peer().zone}, now);
     logEvent(Event::kPeerUp,
              {{"peer", link->peer().box}, {"address", address}, {"build", link->peer().build}});
@@ -263,7 +263,7 @@
     m_exchange.take(address, body, now);
     if (const auto* digest = body.AsDigest()) {
         it->second.digestPeriod = static_cast<Millis>(digest->next_ms);
-        LoadExchange::TakeSightings(*m_boxes, *digest, now);
+        LoadExchange::ApplySightings(*m_boxes, *digest, now);
     } else if (const auto* list = body.AsBoxList()) {
         learn(it->second, *list);
     } else if (const auto* ask = body.AsKnowledgeAsk()) {
--- a/tests/LoadExchangeTest.cpp
+++ b/tests/LoadExchangeTest.cpp
@@ -96,17 +96,17 @@
     CHECK(told({10000}).second.size() == linked.size());
     // A rolling upgrade: only one of them knows load reports by now.
     for (size_t i = 1; i < linked.size(); ++i) {
-        exchange.noteVersion(linked[i], false);
+        exchange.setLoadReportSupport(linked[i], false);
     }
     records.noteReportedLoad("a", 9, {20000});
     const auto [digests, reports] = told({20000});
     CHECK(digests == linked.size());
     CHECK(reports == std::set<std::string>{linked[0]});
     // And none at all: nothing is told, and what is due stays so for those who come.
-    exchange.noteVersion(linked[0], false);
+    exchange.setLoadReportSupport(linked[0], false);
     records.noteReportedLoad("a", 12, {20100});
     CHECK(told({20200}).second.empty());
-    exchange.noteVersion(linked[0], true);
+    exchange.setLoadReportSupport(linked[0], true);
     CHECK(told({20300}).second.size() == 1);
     // A greeting of an earlier version does not say that it knows them.
     CHECK_FALSE(wire::HelloT().takes_load_reports);
