--- a/include/gateway/LoadExchange.h
+++ b/include/gateway/LoadExchange.h
@@ -47,29 +47,29 @@
     void take(const std::string& from, const wire::BodyUnion& body, MonoTime now);
 
 private:
-    void noteBoxes(const BoxDirectory& boxes, MonoTime now);
-    wire::DigestT digestOf(const PeerCounts::Counts& counts);
-    OutgoingFrame frameOf(std::span<const std::string> neighbours, wire::DigestT digest);
-    size_t reportsAllowed(MonoTime now);
-    std::vector<std::string> reportTargets(const std::string& self,
-                                           std::vector<std::string> neighbours);
-    OutgoingFrame reportsFor(std::vector<std::string> targets, size_t most, MonoTime now);
+    void updateBoxes(const BoxDirectory& boxes, MonoTime now);
+    wire::DigestT makeDigest(const PeerCounts::Counts& counts);
+    OutgoingFrame makeDigestFrame(std::span<const std::string> neighbours, wire::DigestT digest);
+    size_t maxReports(MonoTime now);
+    std::vector<std::string> selectReportTargets(const std::string& self,
+                                                 std::vector<std::string> neighbours);
+    OutgoingFrame makeReportFrame(std::vector<std::string> targets, size_t most, MonoTime now);
     int64_t digestBudget() const;
-    void takeReports(const wire::LoadReportsT& reports, MonoTime now);
-    void takeDigest(const std::string& from, const wire::DigestT& digest, MonoTime now);
+    void handleReports(const wire::LoadReportsT& reports, MonoTime now);
+    void handleDigest(const std::string& from, const wire::DigestT& digest, MonoTime now);
 
     UpstreamRecords& m_records;
     int64_t m_budget;
-    MonoTime m_lastDigest;
-    PeerCounts::Counts m_announced;  // In the last digest.
+    MonoTime m_lastDigestAt;
+    PeerCounts::Counts m_announcedLoads;  // In the last digest.
     Millis m_digestPeriod = 100;
     uint64_t m_sequence = 0;
-    std::set<std::string> m_older;  // Boxes that know no load reports.
-    bool m_sampled = false;         // Not all boxes are neighbours.
-    double m_reportAllowance = 0;   // Bytes that may be spent on reports now.
-    MonoTime m_allowedAt;           // When that was.
+    std::set<std::string> m_withoutLoadReports;  // Boxes that know no load reports.
+    bool m_isPartialMesh = false;                // Not all boxes are neighbours.
+    double m_reportAllowance = 0;                // Bytes that may be spent on reports now.
+    MonoTime m_allowanceUpdatedAt;               // When that was.
     uint64_t m_reportRound = 0;
-    std::optional<uint64_t> m_boxesVersion;  // Of the boxes that the records know.
+    std::optional<uint64_t> m_directoryVersion;  // Of the boxes that the records know.
 };
 
 }  // namespace onyx
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -59,36 +59,37 @@
                                              std::span<const std::string> linked, MonoTime now) {
     const double share = boxes.neighbourShare();
     m_records.setSite(boxes.size(), share);
-    m_sampled = share < 1;
-    noteBoxes(boxes, now);
+    m_isPartialMesh = share < 1;
+    updateBoxes(boxes, now);
     m_records.coldShare().setLinked(linked.size());
     std::vector<OutgoingFrame> frames;
     // Digests go out on changes, as often as the budget of control bytes allows.
     const PeerCounts::Counts counts = m_records.ownLoads();
     const Millis renewal = std::max(kDigestRenewal, m_digestPeriod);
-    const bool changed = counts != m_announced || m_records.hasAnnouncements();
-    if (now - m_lastDigest >= (changed ? m_digestPeriod : renewal)) {
-        wire::DigestT digest = digestOf(counts);
+    const bool changed = counts != m_announcedLoads || m_records.hasAnnouncements();
+    if (now - m_lastDigestAt >= (changed ? m_digestPeriod : renewal)) {
+        wire::DigestT digest = makeDigest(counts);
         AddSightings(boxes.takeSightings(now), digest);
-        frames.push_back(frameOf(NeighboursOf(boxes, linked), std::move(digest)));
-        m_announced = counts;
-        m_lastDigest = now;
+        frames.push_back(makeDigestFrame(NeighboursOf(boxes, linked), std::move(digest)));
+        m_announcedLoads = counts;
+        m_lastDigestAt = now;
     }
-    const size_t reports = reportsAllowed(now);
+    const size_t reports = maxReports(now);
     if (reports > 0 && m_records.hasDueReports(now)) {
-        std::vector<std::string> targets = reportTargets(boxes.self(), NeighboursOf(boxes, linked));
+        std::vector<std::string> targets =
+            selectReportTargets(boxes.self(), NeighboursOf(boxes, linked));
         if (!targets.empty()) {
-            frames.push_back(reportsFor(std::move(targets), reports, now));
+            frames.push_back(makeReportFrame(std::move(targets), reports, now));
         }
     }
     return frames;
 }
 
-void LoadExchange::noteBoxes(const BoxDirectory& boxes, MonoTime now) {
-    if (m_boxesVersion == boxes.version()) {
+void LoadExchange::updateBoxes(const BoxDirectory& boxes, MonoTime now) {
+    if (m_directoryVersion == boxes.version()) {
         return;
     }
-    m_boxesVersion = boxes.version();
+    m_directoryVersion = boxes.version();
     std::vector<std::string> others;
     for (const KnownBox& box : boxes.all()) {
         if (box.address != boxes.self()) {
@@ -103,34 +104,36 @@
 }
 
 Millis LoadExchange::pause() const {
-    return m_sampled ? kReportPeriod : m_digestPeriod;
+    return m_isPartialMesh ? kReportPeriod : m_digestPeriod;
 }
 
 int64_t LoadExchange::digestBudget() const {
-    return m_sampled ? static_cast<int64_t>((1 - kReportShare) * static_cast<double>(m_budget))
-                     : m_budget;
+    return m_isPartialMesh
+               ? static_cast<int64_t>((1 - kReportShare) * static_cast<double>(m_budget))
+               : m_budget;
 }
 
 // How many reports the budget allows now, in a frame for each of kReportFanOut boxes.
-size_t LoadExchange::reportsAllowed(MonoTime now) {
+size_t LoadExchange::maxReports(MonoTime now) {
     const double rate = kReportShare * static_cast<double>(m_budget) / 1000;  // A millisecond.
-    const double earned = rate * static_cast<double>(now - m_allowedAt);
+    const double earned = rate * static_cast<double>(now - m_allowanceUpdatedAt);
     m_reportAllowance = std::min(m_reportAllowance + earned, rate * kMaxSaved);
-    m_allowedAt = now;
+    m_allowanceUpdatedAt = now;
     const double room = m_reportAllowance / static_cast<double>(kReportFanOut) - kReportFrameBytes;
-    return m_sampled && room > 0 ? static_cast<size_t>(room / kReportBytes) : 0;
+    return m_isPartialMesh && room > 0 ? static_cast<size_t>(room / kReportBytes) : 0;
 }
 
 // Reports go on to a few neighbours, drawn anew each time, and from there to others.
-std::vector<std::string> LoadExchange::reportTargets(const std::string& self,
-                                                     std::vector<std::string> neighbours) {
-    std::erase_if(neighbours,
-                  [&](const std::string& address) { return m_older.contains(address); });
+std::vector<std::string> LoadExchange::selectReportTargets(const std::string& self,
+                                                           std::vector<std::string> neighbours) {
+    std::erase_if(neighbours, [&](const std::string& address) {
+        return m_withoutLoadReports.contains(address);
+    });
     return DrawBoxes(std::move(neighbours), kReportFanOut, self, ++m_reportRound);
 }
 
-OutgoingFrame LoadExchange::reportsFor(std::vector<std::string> targets, size_t most,
-                                       MonoTime now) {
+OutgoingFrame LoadExchange::makeReportFrame(std::vector<std::string> targets, size_t most,
+                                            MonoTime now) {
     wire::LoadReportsT message;
     for (const LoadReport& report : m_records.takeDueReports(most, now)) {
         const auto load = static_cast<uint16_t>(std::min(report.load, kMaxCount));
@@ -145,13 +148,13 @@
 
 void LoadExchange::setLoadReportSupport(const std::string& address, bool takesLoadReports) {
     if (takesLoadReports) {
-        m_older.erase(address);
+        m_withoutLoadReports.erase(address);
     } else {
-        m_older.insert(address);
+        m_withoutLoadReports.insert(address);
     }
 }
 
-wire::DigestT LoadExchange::digestOf(const PeerCounts::Counts& counts) {
+wire::DigestT LoadExchange::makeDigest(const PeerCounts::Counts& counts) {
     wire::DigestT digest;
     digest.sequence = ++m_sequence;
     for (const auto& [upstream, count] : counts) {
@@ -166,7 +169,8 @@
     return digest;
 }
 
-OutgoingFrame LoadExchange::frameOf(std::span<const std::string> neighbours, wire::DigestT digest) {
+OutgoingFrame LoadExchange::makeDigestFrame(std::span<const std::string> neighbours,
+                                            wire::DigestT digest) {
     // The period is part of the frame whose size it depends on, so the size is taken with any.
     digest.next_ms = static_cast<uint32_t>(kDigestPeriod);
     const size_t size = EncodeMessage(digest).size();
@@ -177,9 +181,9 @@
 
 void LoadExchange::take(const std::string& from, const wire::BodyUnion& body, MonoTime now) {
     if (const auto* digest = body.AsDigest()) {
-        takeDigest(from, *digest, now);
+        handleDigest(from, *digest, now);
     } else if (const auto* reports = body.AsLoadReports()) {
-        takeReports(*reports, now);
+        handleReports(*reports, now);
     }
 }
 
@@ -192,7 +196,7 @@
     }
 }
 
-void LoadExchange::takeReports(const wire::LoadReportsT& reports, MonoTime now) {
+void LoadExchange::handleReports(const wire::LoadReportsT& reports, MonoTime now) {
     for (size_t i = 0; i < reports.reports.size(); ++i) {
         const auto& entry = reports.reports[i];
         // The way here counts as nothing: some milliseconds.
@@ -202,7 +206,8 @@
     }
 }
 
-void LoadExchange::takeDigest(const std::string& from, const wire::DigestT& digest, MonoTime now) {
+void LoadExchange::handleDigest(const std::string& from, const wire::DigestT& digest,
+                                MonoTime now) {
     PeerCounts::Counts counts;
     for (size_t i = 0; i < digest.loads.size(); ++i) {
         const auto& load = digest.loads[i];
