--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -15,22 +15,23 @@
 // At most one digest in this time, and only on changes: loads this old keep the bound on an
 // upstream's load (AffinityPolicy) in sites whose boxes all announce theirs.
 constexpr Millis kDigestPeriod = 100;
-constexpr Millis kDigestRenewal =
+constexpr Millis kDigestRenewalPeriod =
     500;  // A digest without changes, which shows that this box lives.
-// Digests of a box are believed for this many of the periods that it announces, and for a while at
+// Digests of a box are validity for this many of the periods that it announces, and for a while at
 // least: one may be lost or late.
-constexpr Millis kPeriodsBelieved = 3;
-constexpr Millis kMinBelieved = 1200;
+constexpr Millis kValidPeriods = 3;
+constexpr Millis kMinValidity = 1200;
 constexpr int kMaxCount = 65535;  // That a frame can carry.
 // Reported loads go out at most once in this time: a full upstream is known to most boxes after
 // some four hops.
 constexpr Millis kReportPeriod = 50;
-constexpr size_t kReportFanOut = 4;   // Neighbours that get them each time.
-constexpr double kReportShare = 0.5;  // Of the budget of control bytes.
-constexpr double kMaxSaved = 1000;    // Milliseconds for which unspent budget is saved, for bursts.
+constexpr size_t kReportFanOut = 4;         // Neighbours that get them each time.
+constexpr double kReportBudgetShare = 0.5;  // Of the budget of control bytes.
+constexpr double kMaxSavedMillis =
+    1000;  // Milliseconds for which unspent budget is saved, for bursts.
 // Bytes of a frame of reports without its entries, and of an entry.
 constexpr double kReportFrameBytes = 64;
-constexpr double kReportBytes = 9;
+constexpr double kReportEntryBytes = 9;
 
 // The StartTag of a frame's entry; frames of earlier versions have none.
 uint8_t TagAt(const std::vector<uint8_t>& tags, size_t i) {
@@ -65,7 +66,7 @@
     std::vector<OutgoingFrame> frames;
     // Digests go out on changes, as often as the budget of control bytes allows.
     const PeerCounts::Counts counts = m_records.ownLoads();
-    const Millis renewal = std::max(kDigestRenewal, m_digestPeriod);
+    const Millis renewal = std::max(kDigestRenewalPeriod, m_digestPeriod);
     const bool changed = counts != m_announcedLoads || m_records.hasAnnouncements();
     if (now - m_lastDigestAt >= (changed ? m_digestPeriod : renewal)) {
         wire::DigestT digest = makeDigest(counts);
@@ -109,18 +110,19 @@
 
 int64_t LoadExchange::digestBudget() const {
     return m_isPartialMesh
-               ? static_cast<int64_t>((1 - kReportShare) * static_cast<double>(m_budget))
+               ? static_cast<int64_t>((1 - kReportBudgetShare) * static_cast<double>(m_budget))
                : m_budget;
 }
 
 // How many reports the budget allows now, in a frame for each of kReportFanOut boxes.
 size_t LoadExchange::maxReports(MonoTime now) {
-    const double rate = kReportShare * static_cast<double>(m_budget) / 1000;  // A millisecond.
+    const double rate =
+        kReportBudgetShare * static_cast<double>(m_budget) / 1000;  // A millisecond.
     const double earned = rate * static_cast<double>(now - m_allowanceUpdatedAt);
-    m_reportAllowance = std::min(m_reportAllowance + earned, rate * kMaxSaved);
+    m_reportAllowance = std::min(m_reportAllowance + earned, rate * kMaxSavedMillis);
     m_allowanceUpdatedAt = now;
     const double room = m_reportAllowance / static_cast<double>(kReportFanOut) - kReportFrameBytes;
-    return m_isPartialMesh && room > 0 ? static_cast<size_t>(room / kReportBytes) : 0;
+    return m_isPartialMesh && room > 0 ? static_cast<size_t>(room / kReportEntryBytes) : 0;
 }
 
 // Reports go on to a few neighbours, drawn anew each time, and from there to others.
@@ -222,8 +224,8 @@
         }
     }
     const auto period = static_cast<Millis>(digest.next_ms);
-    const Millis believed = std::max(kMinBelieved, kPeriodsBelieved * period);
-    m_records.notePeerLoads(from, std::move(counts), now, believed);
+    const Millis validity = std::max(kMinValidity, kValidPeriods * period);
+    m_records.notePeerLoads(from, std::move(counts), now, validity);
 }
 
 }  // namespace onyx
