--- a/src/gateway/PeerMessages.cpp
+++ b/src/gateway/PeerMessages.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::optional<UpstreamChanges> ChangesOf(const wire::KnowledgeReplyT& reply) {
+std::optional<UpstreamChanges> ReadUpstreamChanges(const wire::KnowledgeReplyT& reply) {
     if (!reply.upstreams_told) {
         return std::nullopt;
     }
@@ -42,8 +42,8 @@
     return changes;
 }
 
-void AddUpstreams(const UpstreamTable& table, const wire::KnowledgeAskT& ask,
-                  wire::KnowledgeReplyT& reply) {
+void AddUpstreamChanges(const UpstreamTable& table, const wire::KnowledgeAskT& ask,
+                        wire::KnowledgeReplyT& reply) {
     const UpstreamChanges changes = table.changesSince(ask.upstreams_revision);
     // A question goes to many boxes; a whole list is sent only where it is fetched.
     if (changes.whole && (ask.follows || ask.no_content)) {
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -158,7 +158,7 @@
         reply.content = m_configuration.text();
     }
     if (ask.want_upstreams && reply.upstreams_revision > ask.upstreams_revision) {
-        AddUpstreams(m_upstreams.table(), ask, reply);
+        AddUpstreamChanges(m_upstreams.table(), ask, reply);
         for (const auto& entry : reply.upstreams) {
             entry->cold_ms = static_cast<uint32_t>(m_upstreams.coldLeft(entry->id, now));
         }
@@ -205,7 +205,8 @@
     takeEvacuations(from, reply);
     const auto asOf = m_knowledge.answered(reply.round, reply.age_ms);
     if (asOf) {
-        apply({reply.content, reply.revision, *asOf, ChangesOf(reply), reply.upstreams_revision,
+        apply({reply.content, reply.revision, *asOf, ReadUpstreamChanges(reply),
+               reply.upstreams_revision,
                m_knowledge.answered(reply.round, reply.upstreams_age_ms)});
     }
     const MonoTime now = ReadClocks().mono;
--- a/tests/PeerMessagesTest.cpp
+++ b/tests/PeerMessagesTest.cpp
@@ -17,14 +17,14 @@
 wire::KnowledgeReplyT ReplyTo(const wire::KnowledgeAskT& ask) {
     wire::KnowledgeReplyT reply;
     reply.upstreams_revision = 8;
-    AddUpstreams(SomeTable(), ask, reply);
+    AddUpstreamChanges(SomeTable(), ask, reply);
     return reply;
 }
 
 }  // namespace
 
 TEST_CASE("What a box sends of its upstreams is what another one reads") {
-    const auto changes = ChangesOf(ReplyTo({}));
+    const auto changes = ReadUpstreamChanges(ReplyTo({}));
     REQUIRE(changes);
     CHECK(changes->whole);
     CHECK(changes->revision == 8);
@@ -36,26 +36,26 @@
 TEST_CASE("A follower, which can ask the store, is not sent a whole list") {
     wire::KnowledgeAskT ask;
     ask.follows = true;
-    CHECK_FALSE(ChangesOf(ReplyTo(ask)).has_value());
+    CHECK_FALSE(ReadUpstreamChanges(ReplyTo(ask)).has_value());
 }
 
 TEST_CASE("A whole list is sent where it is fetched, not to each question") {
     wire::KnowledgeAskT ask;
     ask.no_content = true;
-    CHECK_FALSE(ChangesOf(ReplyTo(ask)).has_value());
+    CHECK_FALSE(ReadUpstreamChanges(ReplyTo(ask)).has_value());
     ask.no_content = false;
-    CHECK(ChangesOf(ReplyTo(ask))->whole);
+    CHECK(ReadUpstreamChanges(ReplyTo(ask))->whole);
 }
 
 TEST_CASE("An entry without an id is passed over") {
     wire::KnowledgeReplyT reply = ReplyTo({});
     reply.upstreams.front()->id.clear();
     reply.upstreams.push_back(nullptr);
-    CHECK(ChangesOf(reply)->changed.size() == 1);
+    CHECK(ReadUpstreamChanges(reply)->changed.size() == 1);
 }
 
 TEST_CASE("An entry of an earlier version says no start, and is read") {
     wire::KnowledgeReplyT reply = ReplyTo({});
     reply.upstreams.front()->started_ms = 0;
-    CHECK(ChangesOf(reply)->changed[0].startedMs == 0);
+    CHECK(ReadUpstreamChanges(reply)->changed[0].startedMs == 0);
 }
