--- a/src/gateway/PeerMessages.cpp
+++ b/src/gateway/PeerMessages.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-std::unique_ptr<wire::UpstreamEntryT> EntryOf(const Upstream& upstream) {
+std::unique_ptr<wire::UpstreamEntryT> EncodeUpstream(const Upstream& upstream) {
     auto entry = std::make_unique<wire::UpstreamEntryT>();
     entry->id = upstream.id;
     entry->service = upstream.service.value;
@@ -17,7 +17,7 @@
     return entry;
 }
 
-Upstream UpstreamOf(const wire::UpstreamEntryT& entry) {
+Upstream DecodeUpstream(const wire::UpstreamEntryT& entry) {
     return {entry.id,         ServiceId(entry.service),
             entry.address,    ZoneId(entry.zone),
             entry.leaving,    entry.slots,
@@ -36,7 +36,7 @@
     changes.removed = reply.removed;
     for (const auto& entry : reply.upstreams) {
         if (entry && !entry->id.empty()) {
-            changes.changed.push_back(UpstreamOf(*entry));
+            changes.changed.push_back(DecodeUpstream(*entry));
         }
     }
     return changes;
@@ -52,7 +52,7 @@
     reply.upstreams_told = true;
     reply.upstreams_whole = changes.whole;
     for (const Upstream& upstream : changes.changed) {
-        reply.upstreams.push_back(EntryOf(upstream));
+        reply.upstreams.push_back(EncodeUpstream(upstream));
     }
     reply.removed = changes.removed;
 }
