--- a/include/gateway/LoadExchange.h
+++ b/include/gateway/LoadExchange.h
@@ -29,14 +29,14 @@
 
     // The frames that are due at `now`, for boxes among `linked`. `boxes`: those of the site.
     // Preconditions: times do not fall.
-    std::vector<OutgoingFrame> due(BoxDirectory& boxes, std::span<const std::string> linked,
-                                   MonoTime now);
+    std::vector<OutgoingFrame> makeDueFrames(BoxDirectory& boxes,
+                                             std::span<const std::string> linked, MonoTime now);
 
     // Takes in what a digest says of which boxes live. Preconditions: as above.
     static void ApplySightings(BoxDirectory& boxes, const wire::DigestT& digest, MonoTime now);
 
     // How long until something may be due again, in milliseconds. Preconditions: none.
-    Millis pause() const;
+    Millis nextDelay() const;
 
     // Whether the box at `address` knows frames of load reports; all do that are not noted here.
     // Preconditions: none.
@@ -44,7 +44,7 @@
 
     // Takes in what the box at `from` tells; other messages are left alone.
     // Preconditions: times do not fall.
-    void take(const std::string& from, const wire::BodyUnion& body, MonoTime now);
+    void handleMessage(const std::string& from, const wire::BodyUnion& body, MonoTime now);
 
 private:
     void updateBoxes(const BoxDirectory& boxes, MonoTime now);
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -56,8 +56,9 @@
 
 }  // namespace
 
-std::vector<OutgoingFrame> LoadExchange::due(BoxDirectory& boxes,
-                                             std::span<const std::string> linked, MonoTime now) {
+std::vector<OutgoingFrame> LoadExchange::makeDueFrames(BoxDirectory& boxes,
+                                                       std::span<const std::string> linked,
+                                                       MonoTime now) {
     const double share = boxes.neighbourShare();
     m_records.setSite(boxes.size(), share);
     m_isPartialMesh = share < 1;
@@ -104,7 +105,7 @@
     m_records.coldShare().setBoxes(boxes.self(), std::move(others), now);
 }
 
-Millis LoadExchange::pause() const {
+Millis LoadExchange::nextDelay() const {
     return m_isPartialMesh ? kReportPeriod : m_digestPeriod;
 }
 
@@ -181,7 +182,8 @@
     return {{neighbours.begin(), neighbours.end()}, EncodeMessage(std::move(digest))};
 }
 
-void LoadExchange::take(const std::string& from, const wire::BodyUnion& body, MonoTime now) {
+void LoadExchange::handleMessage(const std::string& from, const wire::BodyUnion& body,
+                                 MonoTime now) {
     if (const auto* digest = body.AsDigest()) {
         handleDigest(from, *digest, now);
     } else if (const auto* reports = body.AsLoadReports()) {
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -260,7 +260,7 @@
         noteUnknown(it->second, body);
         return;
     }
-    m_exchange.take(address, body, now);
+    m_exchange.handleMessage(address, body, now);
     if (const auto* digest = body.AsDigest()) {
         it->second.digestPeriod = static_cast<Millis>(digest->next_ms);
         LoadExchange::ApplySightings(*m_boxes, *digest, now);
@@ -299,11 +299,11 @@
 Task<> PeerMesh::announceLoads() {
     while (true) {
         for (const OutgoingFrame& outgoing :
-             m_exchange.due(*m_boxes, linked(), ReadClocks().mono)) {
+             m_exchange.makeDueFrames(*m_boxes, linked(), ReadClocks().mono)) {
             sendEncoded(outgoing);
         }
         m_metrics.set("onyx_peer_links", {}, static_cast<double>(m_links.size()));
-        co_await SleepFor(m_exchange.pause());
+        co_await SleepFor(m_exchange.nextDelay());
     }
 }
 
--- a/tests/Fleet.cpp
+++ b/tests/Fleet.cpp
@@ -120,7 +120,7 @@
             linked.push_back(BoxAddress(other));
         }
     }
-    for (const OutgoingFrame& outgoing : box.exchange.due(box.directory, linked, m_now)) {
+    for (const OutgoingFrame& outgoing : box.exchange.makeDueFrames(box.directory, linked, m_now)) {
         m_figures.bytesSent += outgoing.frame.size() * outgoing.to.size();
         const auto body = std::make_shared<wire::BodyUnion>(
             DecodeFrame(std::span<const char>(outgoing.frame).subspan(kFrameHeaderSize)).value());
@@ -129,12 +129,12 @@
             at(m_now + kFrameDelay, [this, body, receiver, i, start = m_boxes[receiver]->life] {
                 Box& there = *m_boxes[receiver];
                 if (there.life == start) {
-                    there.exchange.take(BoxAddress(i), *body, m_now);
+                    there.exchange.handleMessage(BoxAddress(i), *body, m_now);
                 }
             });
         }
     }
-    at(m_now + box.exchange.pause(), [this, i, life] { announce(i, life); });
+    at(m_now + box.exchange.nextDelay(), [this, i, life] { announce(i, life); });
 }
 
 void Fleet::scheduleArrival() {
--- a/tests/LoadExchangeTest.cpp
+++ b/tests/LoadExchangeTest.cpp
@@ -82,7 +82,7 @@
     const auto told = [&](MonoTime now) {
         size_t digests = 0;
         std::set<std::string> reports;
-        for (const OutgoingFrame& outgoing : exchange.due(boxes, linked, now)) {
+        for (const OutgoingFrame& outgoing : exchange.makeDueFrames(boxes, linked, now)) {
             const std::span<const char> frame(outgoing.frame);
             const auto body = DecodeFrame(frame.subspan(kFrameHeaderSize)).value();
             digests += body.AsDigest() != nullptr ? outgoing.to.size() : 0;
@@ -120,7 +120,7 @@
     message.reports.emplace_back(ShortHash("a"), 9, 300);
     wire::BodyUnion body;
     body.Set(std::move(message));
-    exchange.take("10.0.0.2:1", body, {5000});
+    exchange.handleMessage("10.0.0.2:1", body, {5000});
     const std::vector<LoadReport> due = records.takeDueReports(9, {5100});
     REQUIRE(due.size() == 1);
     CHECK(due[0] == LoadReport{ShortHash("a"), 9, {4700}});
