--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -4,8 +4,9 @@
 // A single crash says little: each upstream that ends takes many requests with it that are not the
 // cause, and a site that loses many at one moment sees thousands. It is handed on to one box, where
 // all crashes of its request meet (RingRoute). A request with two crashes, one after the other, is
-// a suspect: what is new of it is told to a few linked boxes drawn anew, in each of a few rounds,
-// and by them to others, until all know. A box that is newly linked gets all of the suspects.
+// a suspect: what is new of it is told to a few linked boxes drawn anew, in each of a few
+// roundsLeft, and by them to others, until all know. A box that is newly linked gets all of the
+// suspects.
 //
 // Inputs: what this box saw, the frames of others, the boxes that are linked, a budget of bytes. A
 // state machine over frames: no socket, clock or thread, so that a whole site can be replayed.
@@ -27,7 +28,7 @@
 // Not thread safe: one task owns it.
 class CrashExchange {
 public:
-    static constexpr Millis kRoundPeriod = 100;  // Time between two rounds, in milliseconds.
+    static constexpr Millis kRoundPeriod = 100;  // Time between two roundsLeft, in milliseconds.
 
     // Preconditions: the quarantine outlives it.
     explicit CrashExchange(RequestQuarantine& quarantine);
@@ -67,12 +68,12 @@
     };
     struct PendingCrash {
         CrashSighting sighting;
-        int rounds = 0;  // In which it is still told.
+        int roundsLeft = 0;  // In which it is still told.
     };
     struct PendingAnswer {
         uint64_t request = 0;
         MonoTime at;
-        int rounds = 0;
+        int roundsLeft = 0;
     };
 
     // Bytes that may be sent, earned at a steady rate.
@@ -81,30 +82,30 @@
         explicit ByteBudget(double bytesPerSecond);
         void refill(MonoTime now);
         void spend(std::span<const OutgoingFrame> frames);
-        double left() const { return m_left; }
-        // Whether little is left of what may be saved.
+        double bytesLeft() const { return m_bytesLeft; }
+        // Whether little is bytesLeft of what may be saved.
         bool isLow() const;
 
     private:
-        double m_rate;
-        double m_left;
+        double m_bytesPerSecond;
+        double m_bytesLeft;
         std::optional<MonoTime> m_refilledAt;
     };
 
     bool isSuspect(uint64_t request) const { return m_quarantine.crashes(request) > 1; }
     bool recordCrash(const CrashSighting& sighting, Origin origin, MonoTime now);
     void recordAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now);
-    void queueSightings(uint64_t request, int rounds, MonoTime now);
-    void queueAnswer(const PendingAnswer& news);
+    void queueSightings(uint64_t request, int roundsLeft, MonoTime now);
+    void queueAnswer(const PendingAnswer& pending);
     void noteRedundantReport(const CrashSighting& sighting);
     bool isQuarantined(uint64_t request, MonoTime now) const {
         return m_quarantine.timeLeft(request, now).has_value();
     }
-    std::vector<OutgoingFrame> takeCorrections(MonoTime now);
-    std::vector<OutgoingFrame> takeSuspects(const std::string& self,
-                                            std::span<const std::string> linked, MonoTime now);
-    std::vector<OutgoingFrame> takeSingles(const std::string& self,
-                                           std::span<const std::string> linked, MonoTime now);
+    std::vector<OutgoingFrame> makeCorrectionFrames(MonoTime now);
+    std::vector<OutgoingFrame> makeSuspectFrames(const std::string& self,
+                                                 std::span<const std::string> linked, MonoTime now);
+    std::vector<OutgoingFrame> makeRoutedFrames(const std::string& self,
+                                                std::span<const std::string> linked, MonoTime now);
     void clearPending();
 
     RequestQuarantine& m_quarantine;
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -42,7 +42,7 @@
 constexpr double kQuarantineReserveBytes = 5000;
 constexpr Millis kMaxSuspectAge = 5000;  // Older crashes of suspects are not told on.
 constexpr double kLowBudgetShare =
-    0.75;  // Bytes are short when less than this part of them is left.
+    0.75;  // Bytes are short when less than this part of them is bytesLeft.
 // Bytes of a frame without its entries, and of an entry.
 constexpr double kFrameBytes = 80;
 constexpr double kEntryBytes = sizeof(wire::CrashEntry);
@@ -62,11 +62,11 @@
 }
 
 template <class Entry>
-void AppendBounded(std::vector<Entry>& queue, const Entry& news) {
+void AppendBounded(std::vector<Entry>& queue, const Entry& pending) {
     if (queue.size() >= kMaxPending) {
         queue.erase(queue.begin());
     }
-    queue.push_back(news);
+    queue.push_back(pending);
 }
 
 size_t CrashesOf(uint64_t request, const wire::CrashReportsT& reports) {
@@ -77,7 +77,7 @@
 
 template <class Entry>
 void EraseCompleted(std::vector<Entry>& queue) {
-    std::erase_if(queue, [](const Entry& news) { return news.rounds <= 0; });
+    std::erase_if(queue, [](const Entry& pending) { return pending.roundsLeft <= 0; });
 }
 
 }  // namespace
@@ -111,11 +111,11 @@
 }
 
 // A box that missed one of the crashes gets it from each box that learns of the next.
-void CrashExchange::queueSightings(uint64_t request, int rounds, MonoTime now) {
+void CrashExchange::queueSightings(uint64_t request, int roundsLeft, MonoTime now) {
     std::erase_if(m_suspectCrashes,
-                  [&](const PendingCrash& news) { return news.sighting.request == request; });
+                  [&](const PendingCrash& pending) { return pending.sighting.request == request; });
     for (const CrashSighting& sighting : m_quarantine.sightingsOf(request, now)) {
-        AppendBounded(m_suspectCrashes, {sighting, rounds});
+        AppendBounded(m_suspectCrashes, {sighting, roundsLeft});
     }
 }
 
@@ -135,29 +135,29 @@
         }
         return;
     }
-    const size_t untold = std::erase_if(m_singleCrashes, [&](const SingleCrash& news) {
-        return news.sighting.request == request && news.origin == Origin::kLocal;
+    const size_t unreported = std::erase_if(m_singleCrashes, [&](const SingleCrash& pending) {
+        return pending.sighting.request == request && pending.origin == Origin::kLocal;
     });
     std::erase_if(m_singleCrashes,
-                  [&](const SingleCrash& news) { return news.sighting.request == request; });
-    std::erase_if(m_suspectCrashes, [&](const PendingCrash& news) {
-        return news.sighting.request == request && news.sighting.crashed <= at;
+                  [&](const SingleCrash& pending) { return pending.sighting.request == request; });
+    std::erase_if(m_suspectCrashes, [&](const PendingCrash& pending) {
+        return pending.sighting.request == request && pending.sighting.crashed <= at;
     });
     if (wasSuspect) {
         queueAnswer({request, at, kSuspectRounds});
-    } else if (untold == 0) {
+    } else if (unreported == 0) {
         AppendBounded(m_singleAnswers, {request, at, 1});
     }
 }
 
-void CrashExchange::queueAnswer(const PendingAnswer& news) {
+void CrashExchange::queueAnswer(const PendingAnswer& pending) {
     const auto same =
         std::find_if(m_suspectAnswers.begin(), m_suspectAnswers.end(),
-                     [&](const PendingAnswer& other) { return other.request == news.request; });
+                     [&](const PendingAnswer& other) { return other.request == pending.request; });
     if (same == m_suspectAnswers.end()) {
-        AppendBounded(m_suspectAnswers, news);
+        AppendBounded(m_suspectAnswers, pending);
     } else {
-        same->at = std::max(same->at, news.at);
+        same->at = std::max(same->at, pending.at);
     }
 }
 
@@ -188,11 +188,12 @@
 
 // What other boxes tell as well spreads without this one.
 void CrashExchange::noteRedundantReport(const CrashSighting& sighting) {
-    const auto same = std::find_if(
-        m_suspectCrashes.begin(), m_suspectCrashes.end(), [&](const PendingCrash& news) {
-            return news.sighting.request == sighting.request && news.sighting.id == sighting.id;
-        });
-    if (same != m_suspectCrashes.end() && m_suspectBudget.isLow() && --same->rounds <= 0) {
+    const auto same = std::find_if(m_suspectCrashes.begin(), m_suspectCrashes.end(),
+                                   [&](const PendingCrash& pending) {
+                                       return pending.sighting.request == sighting.request &&
+                                              pending.sighting.id == sighting.id;
+                                   });
+    if (same != m_suspectCrashes.end() && m_suspectBudget.isLow() && --same->roundsLeft <= 0) {
         m_suspectCrashes.erase(same);
     }
 }
@@ -203,37 +204,37 @@
       m_singleBudget(kSingleBytesPerSecond) {}
 
 CrashExchange::ByteBudget::ByteBudget(double bytesPerSecond)
-    : m_rate(bytesPerSecond), m_left(bytesPerSecond * kMaxSavedSeconds) {}
+    : m_bytesPerSecond(bytesPerSecond), m_bytesLeft(bytesPerSecond * kMaxSavedSeconds) {}
 
 void CrashExchange::ByteBudget::refill(MonoTime now) {
     const Millis elapsed = m_refilledAt ? now - *m_refilledAt : 0;
-    const double earned = m_rate * static_cast<double>(elapsed) / 1000;
-    m_left = std::min(m_left + earned, m_rate * kMaxSavedSeconds);
+    const double earned = m_bytesPerSecond * static_cast<double>(elapsed) / 1000;
+    m_bytesLeft = std::min(m_bytesLeft + earned, m_bytesPerSecond * kMaxSavedSeconds);
     m_refilledAt = now;
 }
 
 bool CrashExchange::ByteBudget::isLow() const {
-    return m_left < m_rate * kMaxSavedSeconds * kLowBudgetShare;
+    return m_bytesLeft < m_bytesPerSecond * kMaxSavedSeconds * kLowBudgetShare;
 }
 
 void CrashExchange::ByteBudget::spend(std::span<const OutgoingFrame> frames) {
     for (const OutgoingFrame& outgoing : frames) {
-        m_left -= static_cast<double>(outgoing.frame.size() * outgoing.to.size());
+        m_bytesLeft -= static_cast<double>(outgoing.frame.size() * outgoing.to.size());
     }
 }
 
 // Takes what all boxes are to be told in this makeRoundFrames: of requests in quarantine first,
 // then the latest crashes.
-std::vector<OutgoingFrame> CrashExchange::takeSuspects(const std::string& self,
-                                                       std::span<const std::string> linked,
-                                                       MonoTime now) {
+std::vector<OutgoingFrame> CrashExchange::makeSuspectFrames(const std::string& self,
+                                                            std::span<const std::string> linked,
+                                                            MonoTime now) {
     std::vector<std::string> to =
         DrawBoxes({linked.begin(), linked.end()}, kSuspectFanOut, self, ++m_round);
-    const auto isInQuarantine = [&](const PendingCrash& news) {
-        return isQuarantined(news.sighting.request, now);
+    const auto isInQuarantine = [&](const PendingCrash& pending) {
+        return isQuarantined(pending.sighting.request, now);
     };
-    std::erase_if(m_suspectCrashes, [&](const PendingCrash& news) {
-        return !isInQuarantine(news) && now - news.sighting.crashed > kMaxSuspectAge;
+    std::erase_if(m_suspectCrashes, [&](const PendingCrash& pending) {
+        return !isInQuarantine(pending) && now - pending.sighting.crashed > kMaxSuspectAge;
     });
     std::stable_sort(m_suspectCrashes.begin(), m_suspectCrashes.end(),
                      [&](const PendingCrash& a, const PendingCrash& b) {
@@ -241,23 +242,23 @@
                                 std::make_pair(isInQuarantine(b), b.sighting.crashed);
                      });
     wire::CrashReportsT reports;
-    double left = m_suspectBudget.left() / static_cast<double>(to.size()) - kFrameBytes;
+    double bytesLeft = m_suspectBudget.bytesLeft() / static_cast<double>(to.size()) - kFrameBytes;
     const double reserve = kQuarantineReserveBytes / static_cast<double>(to.size());
     const auto reserveEntry = [&](double reservedBytes) {
-        const bool enough = left - kEntryBytes >= reservedBytes;
-        left -= enough ? kEntryBytes : 0;
+        const bool enough = bytesLeft - kEntryBytes >= reservedBytes;
+        bytesLeft -= enough ? kEntryBytes : 0;
         return enough;
     };
-    for (PendingAnswer& news : m_suspectAnswers) {
+    for (PendingAnswer& pending : m_suspectAnswers) {
         if (reserveEntry(reserve)) {
-            AddAnswer(news.request, news.at, now, reports);
-            --news.rounds;
+            AddAnswer(pending.request, pending.at, now, reports);
+            --pending.roundsLeft;
         }
     }
-    for (PendingCrash& news : m_suspectCrashes) {
-        if (reserveEntry(isInQuarantine(news) ? 0 : reserve)) {
-            AddCrash(news.sighting, now, reports);
-            --news.rounds;
+    for (PendingCrash& pending : m_suspectCrashes) {
+        if (reserveEntry(isInQuarantine(pending) ? 0 : reserve)) {
+            AddCrash(pending.sighting, now, reports);
+            --pending.roundsLeft;
         }
     }
     EraseCompleted(m_suspectAnswers);
@@ -270,16 +271,16 @@
     return frames;
 }
 
-// Takes the single crashes, and their answers, that are handed on to boxes closer to where all news
-// of their request meet; the latest crashes first. What has arrived there goes no further.
-std::vector<OutgoingFrame> CrashExchange::takeSingles(const std::string& self,
-                                                      std::span<const std::string> linked,
-                                                      MonoTime now) {
+// Takes the single crashes, and their answers, that are handed on to boxes closer to where all
+// pending of their request meet; the latest crashes first. What has arrived there goes no further.
+std::vector<OutgoingFrame> CrashExchange::makeRoutedFrames(const std::string& self,
+                                                           std::span<const std::string> linked,
+                                                           MonoTime now) {
     std::map<std::string, wire::CrashReportsT> byBox;
-    double left = m_singleBudget.left();
+    double bytesLeft = m_singleBudget.bytesLeft();
     const auto routeEntry = [&](uint64_t request, size_t fanOut, const auto& addTo) {
         for (const std::string& box : CloserBoxes(linked, self, request, fanOut)) {
-            left -= kEntryBytes + (byBox.contains(box) ? 0 : kFrameBytes);
+            bytesLeft -= kEntryBytes + (byBox.contains(box) ? 0 : kFrameBytes);
             addTo(byBox[box]);
         }
     };
@@ -287,18 +288,18 @@
                      [](const SingleCrash& a, const SingleCrash& b) {
                          return a.sighting.crashed < b.sighting.crashed;
                      });
-    while (left > 0 && !m_singleCrashes.empty()) {
-        const SingleCrash news = m_singleCrashes.back();
+    while (bytesLeft > 0 && !m_singleCrashes.empty()) {
+        const SingleCrash pending = m_singleCrashes.back();
         m_singleCrashes.pop_back();
-        const size_t fanOut = news.origin == Origin::kLocal ? kOriginFanOut : kRelayFanOut;
-        routeEntry(news.sighting.request, fanOut,
-                   [&](auto& reports) { AddCrash(news.sighting, now, reports); });
+        const size_t fanOut = pending.origin == Origin::kLocal ? kOriginFanOut : kRelayFanOut;
+        routeEntry(pending.sighting.request, fanOut,
+                   [&](auto& reports) { AddCrash(pending.sighting, now, reports); });
     }
-    while (left > 0 && !m_singleAnswers.empty()) {
-        const PendingAnswer news = m_singleAnswers.back();
+    while (bytesLeft > 0 && !m_singleAnswers.empty()) {
+        const PendingAnswer pending = m_singleAnswers.back();
         m_singleAnswers.pop_back();
-        routeEntry(news.request, kRelayFanOut,
-                   [&](auto& reports) { AddAnswer(news.request, news.at, now, reports); });
+        routeEntry(pending.request, kRelayFanOut,
+                   [&](auto& reports) { AddAnswer(pending.request, pending.at, now, reports); });
     }
     std::vector<OutgoingFrame> frames;
     frames.reserve(byBox.size());
@@ -310,9 +311,9 @@
 
 // What boxes that know less are told, as far as the budget allows; they ask for it again by telling
 // of the next crash.
-std::vector<OutgoingFrame> CrashExchange::takeCorrections(MonoTime now) {
+std::vector<OutgoingFrame> CrashExchange::makeCorrectionFrames(MonoTime now) {
     std::vector<OutgoingFrame> frames;
-    double left = m_suspectBudget.left();
+    double bytesLeft = m_suspectBudget.bytesLeft();
     for (const auto& [box, requests] : m_corrections) {
         wire::CrashReportsT reports;
         for (const uint64_t request : requests) {
@@ -324,8 +325,8 @@
             }
         }
         OutgoingFrame outgoing{{box}, EncodeMessage(std::move(reports))};
-        left -= static_cast<double>(outgoing.frame.size());
-        if (left < 0) {
+        bytesLeft -= static_cast<double>(outgoing.frame.size());
+        if (bytesLeft < 0) {
             break;
         }
         frames.push_back(std::move(outgoing));
@@ -350,12 +351,12 @@
         std::move(more.begin(), more.end(), std::back_inserter(frames));
     };
     if (now - m_lastSuspectRound >= kSuspectPeriod) {
-        send(takeCorrections(now), m_suspectBudget);
-        send(takeSuspects(self, linked, now), m_suspectBudget);
+        send(makeCorrectionFrames(now), m_suspectBudget);
+        send(makeSuspectFrames(self, linked, now), m_suspectBudget);
         m_lastSuspectRound = now;
     }
     if (now - m_lastRouting >= kRoutingPeriod) {
-        send(takeSingles(self, linked, now), m_singleBudget);
+        send(makeRoutedFrames(self, linked, now), m_singleBudget);
         m_lastRouting = now;
     }
     return frames;
