--- a/include/gateway/CrashDetector.h
+++ b/include/gateway/CrashDetector.h
@@ -42,18 +42,18 @@
     void noteInterruptedAttempt(const Upstream& upstream, InterruptedAttempt attempt);
 
 private:
-    struct Pending {
+    struct PendingProbe {
         Upstream upstream;
         std::vector<InterruptedAttempt> attempts;
     };
 
     Task<> probe(std::string upstreamId);
-    Task<bool> isRefused(std::string address);
+    Task<bool> refusesConnection(std::string address);
 
     asio::io_context& m_io;
     const UpstreamRecords& m_records;
     OnCrash m_onCrash;
-    std::map<std::string, Pending> m_pending;  // By the upstream's id.
+    std::map<std::string, PendingProbe> m_pendingProbes;  // By the upstream's id.
 };
 
 }  // namespace onyx
--- a/src/gateway/CrashDetector.cpp
+++ b/src/gateway/CrashDetector.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 void CrashDetector::noteInterruptedAttempt(const Upstream& upstream, InterruptedAttempt attempt) {
-    const auto [it, first] = m_pending.try_emplace(upstream.id, Pending{upstream, {}});
+    const auto [it, first] = m_pendingProbes.try_emplace(upstream.id, PendingProbe{upstream, {}});
     it->second.attempts.push_back(std::move(attempt));
     if (first) {
         Spawn(m_io.get_executor(), probe(upstream.id));
@@ -30,18 +30,18 @@
 
 Task<> CrashDetector::probe(std::string upstreamId) {
     co_await SleepFor(kPortCloseDelay);
-    const Upstream upstream = m_pending.at(upstreamId).upstream;
+    const Upstream upstream = m_pendingProbes.at(upstreamId).upstream;
     std::string address = upstream.address;
-    const bool refused = co_await isRefused(std::move(address));
+    const bool refused = co_await refusesConnection(std::move(address));
     const bool restarted = m_records.isPast(upstream.incarnation());
-    const Pending ended = std::move(m_pending.at(upstreamId));
-    m_pending.erase(upstreamId);
+    const PendingProbe ended = std::move(m_pendingProbes.at(upstreamId));
+    m_pendingProbes.erase(upstreamId);
     if (refused || restarted) {
         m_onCrash(ended.upstream, ended.attempts);
     }
 }
 
-Task<bool> CrashDetector::isRefused(std::string address) {
+Task<bool> CrashDetector::refusesConnection(std::string address) {
     const Result<Endpoint> peer = ParseEndpoint(address);
     if (peer.has_error()) {
         co_return false;
