--- a/include/gateway/QuarantineController.h
+++ b/include/gateway/QuarantineController.h
@@ -39,7 +39,7 @@
         m_detector.noteInterruptedAttempt(upstream, std::move(attempt));
     }
     // An upstream answered the request with success. Preconditions: none.
-    void answered(uint64_t fingerprint);
+    void noteAnswer(uint64_t fingerprint);
 
     // What comes over the links. Preconditions: none.
     void onLinked(const std::string& address);
--- a/src/gateway/QuarantineController.cpp
+++ b/src/gateway/QuarantineController.cpp
@@ -14,7 +14,7 @@
                      noteCrash(upstream, attempts);
                  }) {}
 
-void QuarantineController::answered(uint64_t fingerprint) {
+void QuarantineController::noteAnswer(uint64_t fingerprint) {
     m_exchange.noteAnswer(fingerprint, ReadClocks().mono);
     startRounds();
 }
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -205,7 +205,7 @@
 Task<AfterAnswer> RequestHandler::deliver() {
     const bool success = m_relay->status() < HttpStatus::kFirstRedirect;
     if (success) {
-        m_context.quarantine.answered(fingerprint());
+        m_context.quarantine.noteAnswer(fingerprint());
     }
     const bool written = co_await m_relay->finish();
     m_context.log.done(report(), m_admission, kAnswered);
