--- a/include/gateway/CrashDetector.h
+++ b/include/gateway/CrashDetector.h
@@ -1,8 +1,10 @@
-// Tells the crash of an upstream from the loss of a connection: after an upstream has closed the
-// connection of a running attempt, its port is looked at. Refused: the process is gone, and
-// all attempts that broke there were under way when it crashed.
+// CrashDetector distinguishes the crash of an upstream from the loss of a connection: after an
+// upstream has closed the connection of a running attempt, the detector probes its port. If the
+// port refuses the connection, the process is gone, and all attempts interrupted there were running
+// when it crashed.
 //
-// Owns the attempts whose upstreams are being looked at. Relies on UpstreamRecords for starts.
+// Owns the interrupted attempts whose upstreams are being probed. Relies on UpstreamRecords to
+// detect that an upstream has restarted.
 #pragma once
 
 #include "include/base/Time.h"
@@ -19,9 +21,9 @@
 
 namespace onyx {
 
-// An attempt that was under way at an upstream when the connection ended.
+// An attempt that was running at an upstream when its connection ended.
 struct InterruptedAttempt {
-    std::string request;       // Its id.
+    std::string request;       // The id of the request.
     uint64_t fingerprint = 0;  // See RequestFingerprint.
     MonoTime sent;
     MonoTime ended;
@@ -32,13 +34,13 @@
 public:
     using OnCrash = std::function<void(const Upstream&, std::span<const InterruptedAttempt>)>;
 
-    // `onCrash` gets each crash once, with the attempts of this box that were under way there.
-    // Preconditions: the context and the records outlive the detector.
+    // `onCrash` is called once per crash, with the attempts of this box that were running at the
+    // upstream. Preconditions: `io` and `records` outlive the detector.
     CrashDetector(asio::io_context& io, const UpstreamRecords& records, OnCrash onCrash)
         : m_io(io), m_records(records), m_onCrash(std::move(onCrash)) {}
 
-    // The upstream closed the attempt's connection before its answer was whole, or has started
-    // again meanwhile. Preconditions: none.
+    // Records an attempt whose upstream closed the connection before the answer was complete, or
+    // restarted while the attempt was running. Preconditions: none.
     void noteInterruptedAttempt(const Upstream& upstream, InterruptedAttempt attempt);
 
 private:
--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -1,15 +1,17 @@
-// Decides which boxes this one tells of crashes under requests, and when, so that all boxes in
-// touch come to the same RequestQuarantine.
+// CrashExchange decides which boxes receive this box's reports of upstream crashes, and when, so
+// that the RequestQuarantines of all connected boxes converge.
 //
-// A single crash says little: each upstream that ends takes many requests with it that are not the
-// cause, and a site that loses many at one moment sees thousands. It is handed on to one box, where
-// all crashes of its request meet (RingRoute). A request with two crashes, one after the other, is
-// a suspect: what is new of it is told to a few linked boxes drawn anew, in each of a few
-// roundsLeft, and by them to others, until all know. A box that is newly linked gets all of the
-// suspects.
+// A request with one known crash ("single crash") is weak evidence: an upstream that ends
+// interrupts many requests that are not the cause, and a site that loses many upstreams at once
+// sees thousands of such crashes. A single crash is therefore routed over the hash ring to the one
+// box where all crashes of its request meet (RingRoute). A request with two crashes, one after the
+// other, is a suspect: its new crashes are sent to a few linked boxes, sampled anew in each of a
+// few rounds, and those boxes pass them on until all boxes have them. A newly linked box receives
+// all suspects.
 //
-// Inputs: what this box saw, the frames of others, the boxes that are linked, a budget of bytes. A
-// state machine over frames: no socket, clock or thread, so that a whole site can be replayed.
+// Inputs: the crashes that this box saw, the frames of other boxes, the linked boxes, and a budget
+// of bytes. The class is a state machine over frames without socket, clock or thread, so that a
+// test can replay a whole site.
 #pragma once
 
 #include "generated/frames_generated.h"
@@ -28,47 +30,48 @@
 // Not thread safe: one task owns it.
 class CrashExchange {
 public:
-    static constexpr Millis kRoundPeriod = 100;  // Time between two roundsLeft, in milliseconds.
+    static constexpr Millis kRoundPeriod = 100;  // Time between two rounds, in milliseconds.
 
-    // Preconditions: the quarantine outlives it.
+    // Preconditions: `quarantine` outlives the exchange.
     explicit CrashExchange(RequestQuarantine& quarantine);
 
-    // This box saw a crash; true if the request is in quarantine from now on.
-    // Preconditions: times do not fall.
+    // Records a crash that this box saw. Returns true if the crash puts the request in quarantine.
+    // Preconditions: `now` does not decrease between calls.
     bool noteCrash(const CrashSighting& sighting, MonoTime now);
-    // A request was answered here. Preconditions: as above.
+    // Records that an upstream answered the request through this box. Preconditions: as above.
     void noteAnswer(uint64_t request, MonoTime now);
 
-    // Takes in what the box `from` tells; the requests that are in quarantine from now on.
-    // Preconditions: as above.
+    // Applies the crashes and answers that the box `from` reports. Returns the requests that this
+    // puts in quarantine. Preconditions: as above.
     std::vector<uint64_t> handleReports(const std::string& from, const wire::CrashReportsT& reports,
                                         MonoTime now);
 
-    // Whether anything waits to be told. Preconditions: none.
+    // Returns whether any crash or answer is waiting to be sent. Preconditions: none.
     bool hasPending() const { return pendingCount() > 0; }
-    // Crashes and answers that wait to be told. Preconditions: none.
+    // Returns the number of crashes and answers waiting to be sent. Preconditions: none.
     size_t pendingCount() const {
         return m_suspectCrashes.size() + m_suspectAnswers.size() + m_singleCrashes.size() +
                m_singleAnswers.size() + m_corrections.size();
     }
-    // The frames of one makeRoundFrames, for boxes among `linked`, which know them. `self`: the
-    // address of this box. Preconditions: as above; kRoundPeriod goes by between calls.
+    // Returns the frames of one round, addressed to boxes among `linked`. `self`: the address of
+    // this box. Preconditions: `now` does not decrease between calls; all of `linked` support
+    // CrashReports frames; at least kRoundPeriod passes between calls.
     std::vector<OutgoingFrame> makeRoundFrames(const std::string& self,
                                                std::span<const std::string> linked, MonoTime now);
 
-    // The frame for a newly linked box; nothing if there is nothing to tell.
-    // Preconditions: as above.
+    // Returns the frame for a newly linked box, or nothing if no crash is known.
+    // Preconditions: `now` does not decrease between calls.
     std::optional<std::string> makeInitialFrame(MonoTime now) const;
 
 private:
-    enum class Origin : uint8_t { kLocal, kPeer };  // By this box, by another one.
+    enum class Origin : uint8_t { kLocal, kPeer };  // Seen by this box, reported by another one.
     struct SingleCrash {
         CrashSighting sighting;
         Origin origin = Origin::kLocal;
     };
     struct PendingCrash {
         CrashSighting sighting;
-        int roundsLeft = 0;  // In which it is still told.
+        int roundsLeft = 0;  // Rounds in which this box still sends the crash.
     };
     struct PendingAnswer {
         uint64_t request = 0;
@@ -76,14 +79,14 @@
         int roundsLeft = 0;
     };
 
-    // Bytes that may be sent, earned at a steady rate.
+    // A token bucket of bytes that may be sent.
     class ByteBudget {
     public:
         explicit ByteBudget(double bytesPerSecond);
         void refill(MonoTime now);
         void spend(std::span<const OutgoingFrame> frames);
         double bytesLeft() const { return m_bytesLeft; }
-        // Whether little is bytesLeft of what may be saved.
+        // Returns whether less than kLowBudgetShare of the capacity is left.
         bool isLow() const;
 
     private:
@@ -109,15 +112,16 @@
     void clearPending();
 
     RequestQuarantine& m_quarantine;
-    std::vector<PendingCrash> m_suspectCrashes;  // Told to all boxes, as are answers to suspects.
+    // Crashes of suspects and answers to suspects, which go to all boxes.
+    std::vector<PendingCrash> m_suspectCrashes;
     std::vector<PendingAnswer> m_suspectAnswers;
-    std::vector<SingleCrash>
-        m_singleCrashes;  // Handed on to one box, as are the answers to such requests.
+    // Single crashes and answers to their requests, which are routed to one box.
+    std::vector<SingleCrash> m_singleCrashes;
     std::vector<PendingAnswer> m_singleAnswers;
-    // Requests of which a box knows less than this one, by the box.
+    // Requests about which a box lacks data that this one has, by the address of the box.
     std::map<std::string, std::set<uint64_t>> m_corrections;
-    MonoTime m_lastSuspectRound;  // The last time,
-    MonoTime m_lastRouting;       // and when single crashes were handed on last.
+    MonoTime m_lastSuspectRound;  // When corrections and suspects were last sent.
+    MonoTime m_lastRouting;       // When single crashes were last routed.
     uint64_t m_round = 0;
     ByteBudget m_suspectBudget;
     ByteBudget m_singleBudget;
--- a/include/gateway/QuarantineController.h
+++ b/include/gateway/QuarantineController.h
@@ -1,9 +1,10 @@
-// Keeps requests that crash upstreams from them: gathers the crashes that this box sees and those
-// that other boxes startRounds of, and says which requests are in quarantine.
+// QuarantineController keeps requests that crash upstreams away from them. It collects the crashes
+// that this box sees and those that other boxes report, and answers which requests are in
+// quarantine.
 //
-// Owns the quarantine and what is told of it. Relies on CrashDetector for what is a crash, on
-// RequestQuarantine for which request is the cause, on CrashExchange for whom to startRounds, and
-// on PeerMesh for the links.
+// Owns the quarantine and the reports about it. Relies on CrashDetector to detect crashes, on
+// RequestQuarantine to decide which request is the cause, on CrashExchange to select the boxes that
+// receive reports, and on PeerMesh for the links.
 #pragma once
 
 #include "include/gateway/CrashDetector.h"
@@ -24,28 +25,29 @@
     QuarantineController(asio::io_context& io, const UpstreamRecords& records, PeerMesh& mesh,
                          RequestLog& log);
 
-    // How long the request is to be kept from upstreams, in milliseconds; nothing if it is not.
-    // Preconditions: none.
+    // Returns the remaining quarantine of the request in milliseconds, or nothing if the request is
+    // not in quarantine. Preconditions: none.
     std::optional<Millis> timeLeft(uint64_t fingerprint, MonoTime now) const {
         return m_quarantine.timeLeft(fingerprint, now);
     }
-    // Whether any request is suspected; if none is, fingerprints need not be computed.
-    // Preconditions: none.
+    // Returns whether a crash is on record for any request. If not, callers need not compute
+    // fingerprints. Preconditions: none.
     bool hasCrashRecords() const { return !m_quarantine.empty(); }
 
-    // The upstream ended the connection of a running attempt, or started again meanwhile.
-    // Preconditions: none.
+    // Records that the upstream closed the connection of a running attempt, or restarted while the
+    // attempt was running. Preconditions: none.
     void noteInterruptedAttempt(const Upstream& upstream, InterruptedAttempt attempt) {
         m_detector.noteInterruptedAttempt(upstream, std::move(attempt));
     }
-    // An upstream answered the request with success. Preconditions: none.
+    // Records that an upstream answered the request with success. Preconditions: none.
     void noteAnswer(uint64_t fingerprint);
 
-    // What comes over the links. Preconditions: none.
+    // Handle a new link to a box, and the reports that a linked box sends. Preconditions: none.
     void onLinked(const std::string& address);
     void onReports(const std::string& from, const wire::CrashReportsT& reports);
 
-    // Forgets what is too old to count. Preconditions: times do not fall.
+    // Drops crashes that are too old to count, and reports the size of the quarantine and of the
+    // send queues to RequestLog. Preconditions: `now` does not decrease between calls.
     void expire(MonoTime now);
 
 private:
@@ -61,7 +63,7 @@
     RequestQuarantine m_quarantine;
     CrashExchange m_exchange{m_quarantine};
     std::mt19937 m_random{std::random_device{}()};
-    bool m_roundsRunning = false;  // Rounds are under way.
+    bool m_roundsRunning = false;  // Whether the task runRounds is running.
 };
 
 }  // namespace onyx
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -14,35 +14,35 @@
 
 namespace {
 
-constexpr size_t kSuspectFanOut = 4;  // Boxes that are told of a suspect in one makeRoundFrames.
-// Boxes to which a single crash is handed on, by the box that saw it and by those between.
+constexpr size_t kSuspectFanOut = 4;  // Boxes that receive the reports on suspects in one round.
+// Boxes to which a single crash is routed: by the box that saw it, and by each box on the route.
 constexpr size_t kOriginFanOut = 2;
 constexpr size_t kRelayFanOut = 1;
-// Rounds in which a box tells what is new to it of a suspect, and all crashes of a request that is
-// new in quarantine. Where bytes are short, one fewer for each time that another box tells it here
-// meanwhile.
+// Rounds in which a box sends a crash of a suspect that is new to it, and all crashes of a request
+// that has just entered quarantine. When the byte budget is low, each report of the same crash that
+// arrives from another box in the meantime takes one round off.
 constexpr int kSuspectRounds = 2;
 constexpr int kQuarantineRounds = 4;
-// Entry wait this long for others, in milliseconds: a frame of one entry costs four times what the
-// entry does.
+// Reports are collected for this long, in milliseconds, before they are sent: a frame with one
+// entry costs four times as many bytes as the entry itself.
 constexpr Millis kSuspectPeriod = 200;
 constexpr Millis kRoutingPeriod = 200;
-constexpr size_t kMaxPending = 512;  // Of each kind; beyond it the oldest go.
-// Sightings that a newly linked box is told of: of suspects, and single ones.
+constexpr size_t kMaxPending = 512;  // Entries per queue; when it is full, the oldest is dropped.
+// Sightings that a newly linked box receives: in all, and single crashes among them.
 constexpr size_t kMaxInitialSightings = 512;
 constexpr size_t kMaxInitialSingles = 8;
-// Bytes a second that a box may send, for suspects and for single crashes, each with its own: after
-// the loss of many upstreams neither is to wait for the other. So many seconds of each may be
-// saved.
+// Bytes per second that a box may send for suspects and for single crashes. The budgets are
+// separate so that after the loss of many upstreams neither kind waits for the other. Unspent bytes
+// accumulate for up to kMaxSavedSeconds.
 constexpr double kSuspectBytesPerSecond = 600;
 constexpr double kSingleBytesPerSecond = 400;
 constexpr double kMaxSavedSeconds = 16;
-// Of what is for suspects, reservedBytes for requests in quarantine: many that have nothing to do
-// with the loss of their upstreams are tried again at one that ends in the same moment.
+// Bytes of the suspects' budget that are reserved for requests in quarantine. Without the reserve,
+// requests that did not cause the loss of their upstreams could use up the budget: many are retried
+// at an upstream that ends at the same moment, and become suspects.
 constexpr double kQuarantineReserveBytes = 5000;
-constexpr Millis kMaxSuspectAge = 5000;  // Older crashes of suspects are not told on.
-constexpr double kLowBudgetShare =
-    0.75;  // Bytes are short when less than this part of them is bytesLeft.
+constexpr Millis kMaxSuspectAge = 5000;   // Crashes of suspects older than this are not passed on.
+constexpr double kLowBudgetShare = 0.75;  // A budget is low when less than this share is left.
 // Bytes of a frame without its entries, and of an entry.
 constexpr double kFrameBytes = 80;
 constexpr double kEntryBytes = sizeof(wire::CrashEntry);
@@ -62,11 +62,11 @@
 }
 
 template <class Entry>
-void AppendBounded(std::vector<Entry>& queue, const Entry& pending) {
+void AppendBounded(std::vector<Entry>& queue, const Entry& entry) {
     if (queue.size() >= kMaxPending) {
         queue.erase(queue.begin());
     }
-    queue.push_back(pending);
+    queue.push_back(entry);
 }
 
 size_t CrashesOf(uint64_t request, const wire::CrashReportsT& reports) {
@@ -77,7 +77,7 @@
 
 template <class Entry>
 void EraseCompleted(std::vector<Entry>& queue) {
-    std::erase_if(queue, [](const Entry& pending) { return pending.roundsLeft <= 0; });
+    std::erase_if(queue, [](const Entry& entry) { return entry.roundsLeft <= 0; });
 }
 
 }  // namespace
@@ -86,8 +86,8 @@
     return recordCrash(sighting, Origin::kLocal, now);
 }
 
-// Where the second crash of a request follows the first, it becomes a suspect, and all boxes are
-// told of both.
+// A request becomes a suspect with its second crash, if that follows the first; both crashes are
+// then sent to all boxes.
 bool CrashExchange::recordCrash(const CrashSighting& sighting, Origin origin, MonoTime now) {
     using Learned = RequestQuarantine::Learned;
     const bool wasSuspect = isSuspect(sighting.request);
@@ -96,7 +96,7 @@
     if (learned == Learned::kNothing || (wasQuarantined && origin == Origin::kPeer)) {
         return false;
     }
-    // Where all crashes of a request meet, the third is known soonest.
+    // The box where all crashes of a request meet is the first to learn of the third.
     if (origin == Origin::kLocal || !isSuspect(sighting.request)) {
         AppendBounded(m_singleCrashes, {sighting, origin});
     }
@@ -110,7 +110,8 @@
     return learned == Learned::kQuarantine;
 }
 
-// A box that missed one of the crashes gets it from each box that learns of the next.
+// Queues all known crashes of the request, not only the latest: a box that missed one of them
+// receives it from each box that learns of the next.
 void CrashExchange::queueSightings(uint64_t request, int roundsLeft, MonoTime now) {
     std::erase_if(m_suspectCrashes,
                   [&](const PendingCrash& pending) { return pending.sighting.request == request; });
@@ -123,8 +124,9 @@
     recordAnswer(request, now, Origin::kLocal, now);
 }
 
-// What an answer clears is not told any more. If no box was told of it, the answer need not be. An
-// answer to a suspect goes on also from boxes that it tells nothing new: others still wait for it.
+// Crashes that an answer clears are no longer sent. If none of them has been sent to another box,
+// the answer is not sent either. An answer to a suspect is passed on even if it clears nothing
+// here, because other boxes may still need it.
 void CrashExchange::recordAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now) {
     const bool wasSuspect = isSuspect(request);
     const bool isLater = !m_quarantine.answeredSince(request, at);
@@ -161,8 +163,8 @@
     }
 }
 
-// A box that tells of a crash which an answer has cleared, or of a single crash of a request that
-// is in quarantine here, knows less than this one: it is told.
+// A box that reports a crash which an answer has cleared, or only one crash of a request that is in
+// quarantine here, lacks data that this box has; a correction is queued for it.
 std::vector<uint64_t> CrashExchange::handleReports(const std::string& from,
                                                    const wire::CrashReportsT& reports,
                                                    MonoTime now) {
@@ -186,7 +188,8 @@
     return quarantined;
 }
 
-// What other boxes tell as well spreads without this one.
+// A crash that other boxes report too spreads without this box, so it is sent in fewer rounds when
+// the budget is low.
 void CrashExchange::noteRedundantReport(const CrashSighting& sighting) {
     const auto same = std::find_if(m_suspectCrashes.begin(), m_suspectCrashes.end(),
                                    [&](const PendingCrash& pending) {
@@ -223,8 +226,8 @@
     }
 }
 
-// Takes what all boxes are to be told in this makeRoundFrames: of requests in quarantine first,
-// then the latest crashes.
+// Builds the frames that spread suspects to all boxes: answers first, then crashes of requests in
+// quarantine, then those of other suspects, the latest crashes first.
 std::vector<OutgoingFrame> CrashExchange::makeSuspectFrames(const std::string& self,
                                                             std::span<const std::string> linked,
                                                             MonoTime now) {
@@ -271,8 +274,9 @@
     return frames;
 }
 
-// Takes the single crashes, and their answers, that are handed on to boxes closer to where all
-// pending of their request meet; the latest crashes first. What has arrived there goes no further.
+// Builds the frames that route single crashes, and answers to their requests, to boxes that are
+// closer to the one where all reports on their request meet; the latest crashes first. Reports that
+// have reached that box are not sent any further.
 std::vector<OutgoingFrame> CrashExchange::makeRoutedFrames(const std::string& self,
                                                            std::span<const std::string> linked,
                                                            MonoTime now) {
@@ -309,8 +313,8 @@
     return frames;
 }
 
-// What boxes that know less are told, as far as the budget allows; they ask for it again by telling
-// of the next crash.
+// Builds the corrections for boxes that lack data, as far as the budget allows. A correction that
+// is dropped is queued again when the box reports the next crash.
 std::vector<OutgoingFrame> CrashExchange::makeCorrectionFrames(MonoTime now) {
     std::vector<OutgoingFrame> frames;
     double bytesLeft = m_suspectBudget.bytesLeft();
@@ -339,7 +343,7 @@
                                                           std::span<const std::string> linked,
                                                           MonoTime now) {
     if (linked.empty()) {
-        // A box that is linked later is greeted with what matters.
+        // A box that is linked later receives the suspects in its initial frame.
         clearPending();
         return {};
     }
