--- a/include/gateway/OutgoingFrame.h
+++ b/include/gateway/OutgoingFrame.h
@@ -1,4 +1,5 @@
-// A frame for several linked boxes, as the exchanges of loads and crashes hand it to PeerMesh.
+// OutgoingFrame is an encoded frame addressed to several linked boxes. LoadExchange and
+// CrashExchange build such frames, and PeerMesh sends them.
 #pragma once
 
 #include <string>
@@ -6,9 +7,9 @@
 
 namespace onyx {
 
-// One frame, as EncodeFrame makes it.
+// One frame, as EncodeFrame returns it.
 struct OutgoingFrame {
-    std::vector<std::string> to;  // Addresses.
+    std::vector<std::string> to;  // Addresses of the recipients.
     std::string frame;
 };
 
--- a/include/gateway/PeerMessages.h
+++ b/include/gateway/PeerMessages.h
@@ -1,4 +1,5 @@
-// The list of upstreams and its changes, in the frames that boxes send each other.
+// Converts the list of upstreams and its changes to and from the KnowledgeAsk and KnowledgeReply
+// frames that boxes exchange.
 #pragma once
 
 #include "include/routing/UpstreamTable.h"
@@ -8,12 +9,12 @@
 
 namespace onyx {
 
-// The changes of the list that a reply brings, or nothing if it brings none. Entries without an id
-// are passed over. Preconditions: none. Thread safety: any thread.
+// Returns the changes of the list that `reply` contains, or nothing if it contains none. Entries
+// without an id are skipped. Preconditions: none. Thread safety: any thread.
 std::optional<UpstreamChanges> ReadUpstreamChanges(const wire::KnowledgeReplyT& reply);
 
-// Adds to `reply` what changed in `table` since the revision that `ask` names. A whole list goes
-// only to boxes that cannot ask the store for it. Preconditions: none. Thread safety: any thread.
+// Adds to `reply` the changes of `table` since the revision in `ask`. A whole list is added only
+// for boxes that cannot fetch it from the store. Preconditions: none. Thread safety: any thread.
 void AddUpstreamChanges(const UpstreamTable& table, const wire::KnowledgeAskT& ask,
                         wire::KnowledgeReplyT& reply);
 
--- a/src/gateway/CrashDetector.cpp
+++ b/src/gateway/CrashDetector.cpp
@@ -14,9 +14,10 @@
 namespace {
 
 // All times in milliseconds.
-constexpr Millis kPortCloseDelay = 30;   // Until a process that ends has closed its port too.
+// Wait before the first probe: an ending process may close its connections before its port.
+constexpr Millis kPortCloseDelay = 30;
 constexpr Millis kConnectTimeout = 300;  // Of one probe.
-constexpr int kMaxProbes = 3;            // The packets of a probe may be lost.
+constexpr int kMaxProbes = 3;  // A probe that times out is repeated: its packets may be lost.
 
 }  // namespace
 
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -343,7 +343,7 @@
                                                           std::span<const std::string> linked,
                                                           MonoTime now) {
     if (linked.empty()) {
-        // A box that is linked later receives the suspects in its initial frame.
+        // A box that is linked later receives the crashes that matter in its initial frame.
         clearPending();
         return {};
     }
--- a/src/gateway/PeerMessages.cpp
+++ b/src/gateway/PeerMessages.cpp
@@ -45,7 +45,7 @@
 void AddUpstreamChanges(const UpstreamTable& table, const wire::KnowledgeAskT& ask,
                         wire::KnowledgeReplyT& reply) {
     const UpstreamChanges changes = table.changesSince(ask.upstreams_revision);
-    // A question goes to many boxes; a whole list is sent only where it is fetched.
+    // A box sends the same ask to many boxes, so a whole list goes only into the reply to a fetch.
     if (changes.whole && (ask.follows || ask.no_content)) {
         return;
     }
