--- a/include/gateway/LoadExchange.h
+++ b/include/gateway/LoadExchange.h
@@ -1,10 +1,10 @@
-// Decides what this box tells which of its neighbours about upstreams, and when; takes in what they
-// tell. A state machine over frames: no socket, clock or thread, so that a whole site of them can
-// be replayed.
+// LoadExchange decides which data about upstreams this box sends to which of its neighbours, and
+// when, and applies what they send. It is a state machine over frames without socket, clock or
+// thread, so that a test can replay a whole site.
 //
-// Inputs: UpstreamRecords (this box's requests, what it has learned of caches), the boxes that are
-// linked, the budget of control bytes. Relies on BoxDirectory for who is a neighbour and on
-// DigestPeriod for how often the budget allows.
+// Inputs: UpstreamRecords (this box's requests, and the caches that it has on record), the linked
+// boxes, and the budget of control bytes. Relies on BoxDirectory for which boxes are neighbours,
+// and on DigestPeriod for how often the budget allows a digest.
 #pragma once
 
 #include "include/gateway/OutgoingFrame.h"
@@ -23,27 +23,27 @@
 // Not thread safe: one task owns it.
 class LoadExchange {
 public:
-    // `budget`: bytes a second for all that it tells. Preconditions: budget > 0; the records
-    // outlive it.
+    // `budget`: bytes per second for everything that this box sends through the exchange.
+    // Preconditions: budget > 0; `records` outlives the exchange.
     LoadExchange(UpstreamRecords& records, int64_t budget) : m_records(records), m_budget(budget) {}
 
-    // The frames that are due at `now`, for boxes among `linked`. `boxes`: those of the site.
-    // Preconditions: times do not fall.
+    // Returns the frames that are due at `now`, addressed to boxes among `linked`. `boxes`: the
+    // boxes of the site. Preconditions: `now` does not decrease between calls.
     std::vector<OutgoingFrame> makeDueFrames(BoxDirectory& boxes,
                                              std::span<const std::string> linked, MonoTime now);
 
-    // Takes in what a digest says of which boxes live. Preconditions: as above.
+    // Passes the sightings of live boxes in `digest` on to `boxes`. Preconditions: as above.
     static void ApplySightings(BoxDirectory& boxes, const wire::DigestT& digest, MonoTime now);
 
-    // How long until something may be due again, in milliseconds. Preconditions: none.
+    // Returns the time until a frame may be due again, in milliseconds. Preconditions: none.
     Millis nextDelay() const;
 
-    // Whether the box at `address` knows frames of load reports; all do that are not noted here.
+    // Sets whether the box at `address` supports LoadReports frames; the default is that it does.
     // Preconditions: none.
     void setLoadReportSupport(const std::string& address, bool takesLoadReports);
 
-    // Takes in what the box at `from` tells; other messages are left alone.
-    // Preconditions: times do not fall.
+    // Applies a digest or load reports from the box at `from`; ignores other messages.
+    // Preconditions: `now` does not decrease between calls.
     void handleMessage(const std::string& from, const wire::BodyUnion& body, MonoTime now);
 
 private:
@@ -61,15 +61,16 @@
     UpstreamRecords& m_records;
     int64_t m_budget;
     MonoTime m_lastDigestAt;
-    PeerCounts::Counts m_announcedLoads;  // In the last digest.
+    PeerCounts::Counts m_announcedLoads;  // The loads in the last digest.
     Millis m_digestPeriod = 100;
     uint64_t m_sequence = 0;
-    std::set<std::string> m_withoutLoadReports;  // Boxes that know no load reports.
-    bool m_isPartialMesh = false;                // Not all boxes are neighbours.
-    double m_reportAllowance = 0;                // Bytes that may be spent on reports now.
-    MonoTime m_allowanceUpdatedAt;               // When that was.
+    std::set<std::string> m_withoutLoadReports;  // Boxes that do not support LoadReports frames.
+    bool m_isPartialMesh = false;                // Whether some boxes are not neighbours.
+    double m_reportAllowance = 0;                // Bytes available for reports.
+    MonoTime m_allowanceUpdatedAt;               // When m_reportAllowance was last computed.
     uint64_t m_reportRound = 0;
-    std::optional<uint64_t> m_directoryVersion;  // Of the boxes that the records know.
+    std::optional<uint64_t>
+        m_directoryVersion;  // The version of the boxes last passed to the records.
 };
 
 }  // namespace onyx
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -12,28 +12,28 @@
 namespace {
 
 // All times in milliseconds.
-// At most one digest in this time, and only on changes: loads this old keep the bound on an
-// upstream's load (AffinityPolicy) in sites whose boxes all announce theirs.
+// A box sends at most one digest in this period, and only when something has changed. In sites
+// whose boxes all announce their loads, loads of this age are recent enough to keep the bound on an
+// upstream's load (AffinityPolicy).
 constexpr Millis kDigestPeriod = 100;
-constexpr Millis kDigestRenewalPeriod =
-    500;  // A digest without changes, which shows that this box lives.
-// Digests of a box are validity for this many of the periods that it announces, and for a while at
-// least: one may be lost or late.
+// Without changes a digest is still sent after this period; it shows that this box is alive.
+constexpr Millis kDigestRenewalPeriod = 500;
+// The loads in a digest are valid for this many of the periods that the sending box announces, and
+// for kMinValidity at least, because one digest may be lost or late.
 constexpr Millis kValidPeriods = 3;
 constexpr Millis kMinValidity = 1200;
-constexpr int kMaxCount = 65535;  // That a frame can carry.
-// Reported loads go out at most once in this time: a full upstream is known to most boxes after
-// some four hops.
+constexpr int kMaxCount = 65535;  // The largest count that a frame can carry.
+// Load reports are sent at most once in this period. They reach most boxes in about four hops, so
+// most boxes soon have the load of a full upstream.
 constexpr Millis kReportPeriod = 50;
-constexpr size_t kReportFanOut = 4;         // Neighbours that get them each time.
-constexpr double kReportBudgetShare = 0.5;  // Of the budget of control bytes.
-constexpr double kMaxSavedMillis =
-    1000;  // Milliseconds for which unspent budget is saved, for bursts.
+constexpr size_t kReportFanOut = 4;         // Neighbours that receive reports each time.
+constexpr double kReportBudgetShare = 0.5;  // Share of the budget of control bytes.
+constexpr double kMaxSavedMillis = 1000;    // Unspent budget accumulates for so long, for bursts.
 // Bytes of a frame of reports without its entries, and of an entry.
 constexpr double kReportFrameBytes = 64;
 constexpr double kReportEntryBytes = 9;
 
-// The StartTag of a frame's entry; frames of earlier versions have none.
+// Returns the StartTag of the entry at `i`, or 0: frames of earlier versions have no tags.
 uint8_t TagAt(const std::vector<uint8_t>& tags, size_t i) {
     return i < tags.size() ? tags[i] : 0;
 }
@@ -65,7 +65,7 @@
     updateBoxes(boxes, now);
     m_records.coldShare().setLinked(linked.size());
     std::vector<OutgoingFrame> frames;
-    // Digests go out on changes, as often as the budget of control bytes allows.
+    // On changes, digests are sent as often as the budget of control bytes allows.
     const PeerCounts::Counts counts = m_records.ownLoads();
     const Millis renewal = std::max(kDigestRenewalPeriod, m_digestPeriod);
     const bool changed = counts != m_announcedLoads || m_records.hasAnnouncements();
@@ -115,10 +115,10 @@
                : m_budget;
 }
 
-// How many reports the budget allows now, in a frame for each of kReportFanOut boxes.
+// Returns how many reports the budget allows now, in one frame to each of kReportFanOut boxes.
 size_t LoadExchange::maxReports(MonoTime now) {
     const double rate =
-        kReportBudgetShare * static_cast<double>(m_budget) / 1000;  // A millisecond.
+        kReportBudgetShare * static_cast<double>(m_budget) / 1000;  // Bytes per millisecond.
     const double earned = rate * static_cast<double>(now - m_allowanceUpdatedAt);
     m_reportAllowance = std::min(m_reportAllowance + earned, rate * kMaxSavedMillis);
     m_allowanceUpdatedAt = now;
@@ -126,7 +126,8 @@
     return m_isPartialMesh && room > 0 ? static_cast<size_t>(room / kReportEntryBytes) : 0;
 }
 
-// Reports go on to a few neighbours, drawn anew each time, and from there to others.
+// Samples the few neighbours that receive the next reports, anew each time. They pass the reports
+// on to others.
 std::vector<std::string> LoadExchange::selectReportTargets(const std::string& self,
                                                            std::vector<std::string> neighbours) {
     std::erase_if(neighbours, [&](const std::string& address) {
@@ -174,7 +175,8 @@
 
 OutgoingFrame LoadExchange::makeDigestFrame(std::span<const std::string> neighbours,
                                             wire::DigestT digest) {
-    // The period is part of the frame whose size it depends on, so the size is taken with any.
+    // The period depends on the size of the frame, which contains the period. Its value does not
+    // change the size, so the size is computed with kDigestPeriod.
     digest.next_ms = static_cast<uint32_t>(kDigestPeriod);
     const size_t size = EncodeMessage(digest).size();
     m_digestPeriod = DigestPeriod(kDigestPeriod, neighbours.size(), size, digestBudget());
@@ -194,7 +196,7 @@
 void LoadExchange::ApplySightings(BoxDirectory& boxes, const wire::DigestT& digest, MonoTime now) {
     const size_t count = std::min(digest.sighted.size(), digest.sighted_s.size());
     for (size_t i = 0; i < count; ++i) {
-        // Rounded up: each hop may have cut off most of a second.
+        // Rounded up, because each hop may have truncated the age by almost a second.
         const Millis age = (Millis{digest.sighted_s[i]} + 1) * 1000;
         boxes.sighted({digest.sighted[i], age}, now);
     }
@@ -203,7 +205,7 @@
 void LoadExchange::handleReports(const wire::LoadReportsT& reports, MonoTime now) {
     for (size_t i = 0; i < reports.reports.size(); ++i) {
         const auto& entry = reports.reports[i];
-        // The way here counts as nothing: some milliseconds.
+        // The transit time of a few milliseconds is neglected.
         if (m_records.isCurrent(entry.upstream(), TagAt(reports.starts, i))) {
             m_records.notePassedReport({entry.upstream(), entry.load(), now - entry.age_ms()}, now);
         }
