--- a/tests/CrashExchangeTest.cpp
+++ b/tests/CrashExchangeTest.cpp
@@ -1,4 +1,4 @@
-// A site's boxes that tell each other of crashes by nothing but the frames of CrashExchange.
+// Replays a site whose boxes exchange crashes only through the frames of CrashExchange.
 #include "include/base/Hash.h"
 #include "include/gateway/CrashExchange.h"
 #include "include/membership/BoxDirectory.h"
@@ -17,23 +17,23 @@
 namespace {
 
 constexpr uint64_t kCrashing = 11;
-// The operators' connected_ms on their large site and on the small ones.
+// The operators' connected_ms in milliseconds, for their large site and for the small ones.
 constexpr Millis kConnectedLarge = 5000;
 constexpr Millis kConnectedSmall = 3000;
-constexpr Millis kDelay = 2;  // Of a frame.
+constexpr Millis kDelay = 2;  // Transit time of a frame, in milliseconds.
 constexpr size_t kMaxDialed = 16;
-constexpr double kControlBytes = 2000;  // A second and box, letter 1.
+constexpr double kControlBytes = 2000;  // Bytes per second and box, see letter 1.
 
 struct Box {
     RequestQuarantine quarantine;
     CrashExchange exchange{quarantine};
     std::string address;
     std::vector<std::string> linked;
-    bool older = false;  // Its build knows no such frames.
+    bool older = false;  // Its build does not support CrashReports frames.
     uint64_t bytes = 0;
 };
 
-// Boxes linked as BoxDirectory links them. Virtual time, one seed, no socket.
+// Boxes linked as BoxDirectory links them, in virtual time, with one seed and without sockets.
 class Site {
 public:
     Site(size_t boxes, uint64_t seed) : m_random(seed) {
@@ -61,13 +61,14 @@
     MonoTime now() const { return m_now; }
     size_t anyBox() { return m_random() % m_boxes.size(); }
 
-    // A box sees an upstream crash under a request that had been there for 50 ms.
+    // A box sees an upstream crash while it runs a request that was sent to it 50 ms earlier.
     void crash(size_t seenBy, uint64_t request) { crashOf(newUpstream(), seenBy, request); }
     void crashOf(uint32_t upstream, size_t seenBy, uint64_t request) {
         const auto id = static_cast<uint32_t>(m_random());
         box(seenBy).exchange.noteCrash({request, id, upstream, m_now - 50, m_now}, m_now);
     }
-    // The same `after` milliseconds later, of an attempt that was there for as long.
+    // As crashOf, but the crash is `after` milliseconds from now, and the attempt is sent 1 ms from
+    // now.
     void crashAfter(uint32_t upstream, size_t seenBy, uint64_t request, Millis after) {
         const auto id = static_cast<uint32_t>(m_random());
         const MonoTime at = m_now + after;
@@ -91,7 +92,7 @@
         }
     }
 
-    // A box is replaced by one that knows nothing; its neighbours link to it.
+    // Replaces a box by one with empty state; its neighbours link to it.
     void restart(size_t i) {
         auto fresh = std::make_unique<Box>();
         fresh->address = box(i).address;
@@ -103,7 +104,7 @@
         }
     }
 
-    // All boxes are replaced at one moment by such that know nothing.
+    // Replaces all boxes at one moment by boxes with empty state.
     void loseAll() {
         for (auto& box : m_boxes) {
             auto fresh = std::make_unique<Box>();
@@ -119,7 +120,7 @@
             [&](const auto& box) { return box->quarantine.timeLeft(request, m_now).has_value(); }));
     }
 
-    // By the box that sent most.
+    // The bytes of the box that sent the most.
     uint64_t bytesSent() const {
         uint64_t most = 0;
         for (const auto& box : m_boxes) {
@@ -146,7 +147,7 @@
 
     void deliver(const std::string& from, const std::optional<std::string>& frame, Box& to) const {
         if (frame) {
-            // As FrameLink has it: in a buffer of its own, aligned for the frame's structs.
+            // As in FrameLink, the frame has its own buffer, aligned for the frame's structs.
             const std::vector<char> content(frame->begin() + kFrameHeaderSize, frame->end());
             const auto body = DecodeFrame(content).value();
             to.exchange.handleReports(from, *body.AsCrashReports(), m_now + kDelay);
@@ -159,18 +160,19 @@
     std::map<std::string, size_t> m_byAddress;
 };
 
-// How heavily a site is struck in the replays below.
-constexpr size_t kLostPerBox = 20;  // Requests of a box whose upstreams are lost together.
+// The scale of the failures in the replays below.
+constexpr size_t kLostPerBox = 20;  // Requests per box whose upstreams are lost together.
 constexpr Millis kStep = 100;
-constexpr size_t kBesideCrashing = 8;  // Requests that are at an upstream beside the crashing one.
+constexpr size_t kBesideCrashing = 8;  // Other requests at an upstream that a request crashes.
 
-// Requests are known by hashes.
+// Requests are identified by hashes.
 uint64_t fingerprintOf(uint64_t number) {
     return HashPair(number, 1);
 }
 
-// Many upstreams are lost at one moment, each under requests of many boxes, and fall over again
-// some times while they start; some of the requests are answered when they are tried again.
+// Half as many upstreams as boxes crash at one moment, each while it runs requests of many boxes,
+// and they crash three more times while they restart. Some of the requests are answered when they
+// are retried.
 void loseManyUpstreams(Site& site) {
     uint64_t request = 1'000'000;
     for (int fall = 0; fall < 4; ++fall) {
@@ -180,7 +182,7 @@
         for (size_t i = 0; i < site.size() * kLostPerBox; ++i) {
             const uint64_t fingerprint = fingerprintOf(++request);
             site.crashOf(upstreams.at(i % upstreams.size()), site.anyBox(), fingerprint);
-            // Tried again at once, at an upstream that ends in the same moment.
+            // Retried at once, at an upstream that crashes 3 ms later.
             if (i % 5 == 0) {
                 const size_t box = site.anyBox();
                 site.crashAfter(upstreams.at((i + 1) % upstreams.size()), box, fingerprint, 3);
@@ -197,16 +199,17 @@
     }
 }
 
-// A request that crashes each upstream that runs it, and how often it did.
+// A request that crashes each upstream that runs it, with the number of its crashes.
 struct Crasher {
     uint64_t request = 0;
     int crashes = 0;
-    MonoTime next;  // When its caller comes again.
+    MonoTime next;  // When its caller retries.
     MonoTime third;
-    int late = 0;  // Crashes after the time in which all boxes were to know of the third.
+    int late = 0;  // Crashes after the time by which all boxes should have the third.
 };
 
-// The crasher's caller comes back at any box, which sends it on unless it knows better.
+// The caller retries at a random box, which sends the request to an upstream unless it has the
+// request in quarantine.
 void comeAgain(Site& site, Crasher& crasher, Millis bound, uint64_t& bystander) {
     const size_t box = site.anyBox();
     if (site.now() < crasher.next) {
@@ -230,9 +233,9 @@
 
 }  // namespace
 
-// Guards against crashes of the cause that wait behind those of requests which lost their upstreams
-// to something else.
-TEST_CASE("After the loss of many upstreams a request that crashes others is found in time") {
+// Guards against reports on the crashing request that wait in the send queue behind reports on
+// requests that lost their upstreams for another reason.
+TEST_CASE("After the loss of many upstreams a request that crashes others is quarantined in time") {
     constexpr int kMostLate = 3;  // The operators' bound.
     const size_t boxes = GENERATE(73, 295, 340);
     const uint64_t seed = GENERATE(1, 2, 3);
@@ -258,9 +261,10 @@
     }
 }
 
-// Guards against the refusal of a popular request that is under way wherever an upstream crashes.
-TEST_CASE("A popular request stays served while upstreams crash for other reasons") {
-    constexpr size_t kMostRefused = 100;  // One in so many: the project's target for failures.
+// Guards against quarantine of a popular request that is running wherever an upstream crashes.
+TEST_CASE("A popular request is still served while upstreams crash for other reasons") {
+    constexpr size_t kMostRefused =
+        100;  // At most 1 in 100 is refused: the project's target for failures.
     const uint64_t popular = fingerprintOf(77);
     const size_t boxes = GENERATE(6, 73, 295);
     const uint64_t seed = GENERATE(1, 2, 3);
@@ -268,8 +272,8 @@
     size_t reads = 0;
     size_t refused = 0;
     uint64_t bystander = 5'000'000;
-    // Twelve readers a second, served in a second each, are at 12 upstreams at most: of 90, three
-    // of which crash each second, every 2.5 s one of theirs.
+    // Twelve reads per second take one second each and so occupy at most 12 of 90 upstreams. Three
+    // upstreams crash per second, so one that runs a read crashes every 2.5 s.
     for (int step = 0; step < 240; ++step) {
         if (step % 10 == 0) {
             const uint32_t upstream = site.newUpstream();
@@ -295,8 +299,9 @@
     CHECK(site.inQuarantine(popular) == 0);
 }
 
-// Guards against boxes that go on sending a request whose crashes other boxes saw.
-TEST_CASE("Three crashes that three boxes saw are known at all boxes within connected_ms") {
+// Guards against boxes that keep sending a request to upstreams although other boxes saw its
+// crashes.
+TEST_CASE("Three crashes seen by three boxes reach all boxes within connected_ms") {
     const size_t boxes = GENERATE(2, 6, 87, 295, 340);
     const uint64_t seed = GENERATE(1, 2, 3, 4, 5);
     const Millis bound = boxes < 100 ? kConnectedSmall : kConnectedLarge;
@@ -309,8 +314,9 @@
     CHECK(site.inQuarantine(kCrashing) == boxes);
 }
 
-// Guards against news of the cause that wait behind those of the requests beside it.
-TEST_CASE("A request that crashes upstreams is found among many that are there only") {
+// Guards against reports on the crashing request that wait behind reports on other requests which
+// were at the same time at crashed upstreams.
+TEST_CASE("A request that crashes upstreams is told apart from many that merely lose theirs") {
     Site site(295, 9);
     uint64_t bystander = 1000;
     for (int i = 0; i < 3; ++i) {
@@ -325,7 +331,7 @@
     CHECK(site.inQuarantine(1000) == 0);
 }
 
-TEST_CASE("A box that starts or is linked anew is told of all requests in quarantine") {
+TEST_CASE("A restarted or newly linked box receives all requests in quarantine") {
     Site site(6, 3);
     for (int i = 0; i < 3; ++i) {
         site.crash(0, kCrashing);
@@ -337,7 +343,7 @@
     }
 }
 
-TEST_CASE("After the loss of all boxes at one moment three more crashes are enough") {
+TEST_CASE("After the loss of all boxes at one moment three more crashes restore the quarantine") {
     Site site(6, 8);
     for (int i = 0; i < 3; ++i) {
         site.crash(site.anyBox(), kCrashing);
@@ -352,7 +358,8 @@
     CHECK(site.inQuarantine(kCrashing) == site.size());
 }
 
-TEST_CASE("Boxes of an earlier build are passed over, and the others come to know all the same") {
+TEST_CASE(
+    "Boxes of an earlier build are skipped, and the quarantine reaches the others all the same") {
     Site site(6, 4);
     site.box(1).older = site.box(4).older = true;
     for (size_t box : {0, 2, 3}) {
@@ -364,7 +371,7 @@
     CHECK(site.box(1).quarantine.empty());
 }
 
-TEST_CASE("An answer that one box got ends the quarantine at all boxes") {
+TEST_CASE("An answer received by one box ends the quarantine at all boxes") {
     Site site(87, 5);
     for (int i = 0; i < 3; ++i) {
         site.crash(site.anyBox(), kCrashing);
@@ -376,7 +383,7 @@
     CHECK(site.inQuarantine(kCrashing) == 0);
 }
 
-TEST_CASE("A crash each half second with ten requests beside it stays within the control bytes") {
+TEST_CASE("Two crashes per second, each with ten other requests, stay within the control bytes") {
     Site site(295, 6);
     constexpr Millis kTime = 20000;
     uint64_t bystander = 1000;
@@ -390,7 +397,7 @@
     CHECK(static_cast<double>(site.bytesSent()) / (kTime / 1000.0) <= kControlBytes);
 }
 
-TEST_CASE("A box without links keeps no news, and ages of any size are read") {
+TEST_CASE("A box without links keeps no pending reports, and ages of any size are decoded") {
     Site site(2, 7);
     site.crash(0, kCrashing);
     CHECK(site.box(0).exchange.makeRoundFrames("10.0.0.0:1", {}, site.now()).empty());
--- a/tests/LoadExchangeTest.cpp
+++ b/tests/LoadExchangeTest.cpp
@@ -12,30 +12,30 @@
 
 namespace {
 
-// The site of the incident: 87 boxes before 112 model upstreams of 12 slots.
+// The site of the incident: 87 boxes in front of 112 model upstreams with 12 slots each.
 constexpr FleetSize kSite{87, 112, 12};
 constexpr uint64_t kSeed = 29;
-// In milliseconds: the operators judge their limit over five seconds.
+// In milliseconds: the operators measure their limit over five seconds.
 constexpr Millis kWindow = 5000;
-// Of the arrivals in a window that may be at an upstream over the limit; the operators allow 3 in
-// 100.
+// Share of the arrivals in a window that may be at an upstream over the limit. The operators allow
+// 3 in 100.
 constexpr double kMaxOver = 0.01;
 
-// Long prompts, short ones and checks, as a second brings them there.
+// Long prompts, short prompts and checks, at the rates per second of that site.
 std::vector<FleetTraffic> Traffic() {
     return {{174, 394, 100, 1100}, {150, 227, 70, 850}, {369, 836, 75, 40}};
 }
 
 }  // namespace
 
-// Seen: on a site of 87 boxes more than 3 in 100 of the arrivals of five calm seconds were at an
-// upstream that held more than twice the mean + 3.
-// How: a prompt that many callers ask for prefers one upstream. 0.6 of its requests a second come
-// to each box, 50 to all; no box sees more than its own in time, so all keep to that upstream.
-// Cause: boxes took for the load what a third of the others had told them a second ago.
-// Proof: this replay of the boxes' own records and frames: 3.9 in 100 over the limit, 1.2 if the
-// boxes tell each other ten times as often.
-TEST_CASE("A prompt that all ask for fills no upstream over the limit") {
+// Guards against overload of an upstream that many callers' common prompt prefers. On a site of 87
+// boxes more than 3 in 100 of the arrivals in five calm seconds were at an upstream with a load of
+// more than twice the mean + 3. Each box receives 0.6 requests per second for the prompt, and all
+// boxes together 50; no box sees the others' requests in time, so all keep choosing that upstream.
+// The cause was that boxes took loads for current that a third of the other boxes had sent a second
+// ago. In this replay of the boxes' own records and frames, 3.9 in 100 arrivals were over the
+// limit, and 1.2 in 100 when the boxes sent loads ten times as often.
+TEST_CASE("A prompt that all callers send fills no upstream over the limit") {
     Fleet fleet(kSite, Traffic(), kSeed);
     fleet.play(kWindow);
     fleet.setHotShare(0.28);
@@ -43,7 +43,7 @@
     CHECK(fleet.play(kWindow).overShare() < kMaxOver);
 }
 
-TEST_CASE("At the ordinary rate, in a burst and after restarts no upstream is over the limit") {
+TEST_CASE("At the ordinary rate, in a burst and after restarts no upstream exceeds the limit") {
     Fleet fleet(kSite, Traffic(), kSeed);
     CHECK(fleet.play(kWindow).overShare() < kMaxOver);
     CHECK(fleet.play(kWindow).overShare() < kMaxOver);
@@ -55,9 +55,9 @@
     CHECK(fleet.play(kWindow).overShare() < kMaxOver);
 }
 
-// Guards against a bound on loads that follows the mean of the upstreams in use alone, while the
-// operators' limit follows the mean of all.
-TEST_CASE("While a zone is evacuated no upstream of the others is over the limit") {
+// Guards against a load bound that is computed from the mean of the upstreams in use only, while
+// the operators' limit is computed from the mean of all.
+TEST_CASE("While a zone is evacuated no upstream of the other zones exceeds the limit") {
     constexpr double kMaxAllowed = 0.03;  // The operators' limit.
     Fleet fleet(kSite, Traffic(), kSeed);
     fleet.play(kWindow);
@@ -67,7 +67,7 @@
     CHECK(fleet.play(kWindow).overShare() < kMaxAllowed);
 }
 
-TEST_CASE("Boxes of an earlier version get digests and no frames that they do not know") {
+TEST_CASE("Boxes of an earlier version receive digests and no frames that they do not support") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), {});
     LoadExchange exchange(records, 4000);
@@ -94,7 +94,7 @@
     };
     records.noteReportedLoad("a", 5, {10000});
     CHECK(told({10000}).second.size() == linked.size());
-    // A rolling upgrade: only one of them knows load reports by now.
+    // A rolling upgrade: only one of the boxes supports load reports so far.
     for (size_t i = 1; i < linked.size(); ++i) {
         exchange.setLoadReportSupport(linked[i], false);
     }
@@ -102,17 +102,18 @@
     const auto [digests, reports] = told({20000});
     CHECK(digests == linked.size());
     CHECK(reports == std::set<std::string>{linked[0]});
-    // And none at all: nothing is told, and what is due stays so for those who come.
+    // No box supports load reports: none is sent, and the due reports stay due for boxes that
+    // support them later.
     exchange.setLoadReportSupport(linked[0], false);
     records.noteReportedLoad("a", 12, {20100});
     CHECK(told({20200}).second.empty());
     exchange.setLoadReportSupport(linked[0], true);
     CHECK(told({20300}).second.size() == 1);
-    // A greeting of an earlier version does not say that it knows them.
+    // A Hello of an earlier version does not announce support for load reports.
     CHECK_FALSE(wire::HelloT().takes_load_reports);
 }
 
-TEST_CASE("What a box is told of a load, it passes on as old as it is") {
+TEST_CASE("A reported load keeps its age when a box passes it on") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), {});
     LoadExchange exchange(records, 4000);
--- a/tests/PeerMessagesTest.cpp
+++ b/tests/PeerMessagesTest.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("What a box sends of its upstreams is what another one reads") {
+TEST_CASE("Upstreams that one box encodes are decoded unchanged by another") {
     const auto changes = ReadUpstreamChanges(ReplyTo({}));
     REQUIRE(changes);
     CHECK(changes->whole);
@@ -33,13 +33,13 @@
     CHECK(changes->changed[1] == SomeTable().all().at("b").upstream);
 }
 
-TEST_CASE("A follower, which can ask the store, is not sent a whole list") {
+TEST_CASE("A follower, which can query the store, does not receive a whole list") {
     wire::KnowledgeAskT ask;
     ask.follows = true;
     CHECK_FALSE(ReadUpstreamChanges(ReplyTo(ask)).has_value());
 }
 
-TEST_CASE("A whole list is sent where it is fetched, not to each question") {
+TEST_CASE("A whole list is sent in reply to a fetch, not to every ask") {
     wire::KnowledgeAskT ask;
     ask.no_content = true;
     CHECK_FALSE(ReadUpstreamChanges(ReplyTo(ask)).has_value());
@@ -47,14 +47,14 @@
     CHECK(ReadUpstreamChanges(ReplyTo(ask))->whole);
 }
 
-TEST_CASE("An entry without an id is passed over") {
+TEST_CASE("An entry without an id is skipped") {
     wire::KnowledgeReplyT reply = ReplyTo({});
     reply.upstreams.front()->id.clear();
     reply.upstreams.push_back(nullptr);
     CHECK(ReadUpstreamChanges(reply)->changed.size() == 1);
 }
 
-TEST_CASE("An entry of an earlier version says no start, and is read") {
+TEST_CASE("An entry of an earlier version, which has no start time, is decoded") {
     wire::KnowledgeReplyT reply = ReplyTo({});
     reply.upstreams.front()->started_ms = 0;
     CHECK(ReadUpstreamChanges(reply)->changed[0].startedMs == 0);
