--- a/tests/LoadExchangeTest.cpp
+++ b/tests/LoadExchangeTest.cpp
@@ -79,7 +79,7 @@
     }
     std::erase_if(linked, [&](const std::string& box) { return !boxes.isNeighbour(box); });
     REQUIRE(linked.size() == 4);
-    const auto told = [&](MonoTime now) {
+    const auto sentFrames = [&](MonoTime now) {
         size_t digests = 0;
         std::set<std::string> reports;
         for (const OutgoingFrame& outgoing : exchange.makeDueFrames(boxes, linked, now)) {
@@ -93,22 +93,22 @@
         return std::make_pair(digests, reports);
     };
     records.noteReportedLoad("a", 5, {10000});
-    CHECK(told({10000}).second.size() == linked.size());
+    CHECK(sentFrames({10000}).second.size() == linked.size());
     // A rolling upgrade: only one of the boxes supports load reports so far.
     for (size_t i = 1; i < linked.size(); ++i) {
         exchange.setLoadReportSupport(linked[i], false);
     }
     records.noteReportedLoad("a", 9, {20000});
-    const auto [digests, reports] = told({20000});
+    const auto [digests, reports] = sentFrames({20000});
     CHECK(digests == linked.size());
     CHECK(reports == std::set<std::string>{linked[0]});
     // No box supports load reports: none is sent, and the due reports stay due for boxes that
     // support them later.
     exchange.setLoadReportSupport(linked[0], false);
     records.noteReportedLoad("a", 12, {20100});
-    CHECK(told({20200}).second.empty());
+    CHECK(sentFrames({20200}).second.empty());
     exchange.setLoadReportSupport(linked[0], true);
-    CHECK(told({20300}).second.size() == 1);
+    CHECK(sentFrames({20300}).second.size() == 1);
     // A Hello of an earlier version does not announce support for load reports.
     CHECK_FALSE(wire::HelloT().takes_load_reports);
 }
