--- a/tests/CrashExchangeTest.cpp
+++ b/tests/CrashExchangeTest.cpp
@@ -210,7 +210,7 @@
 
 // The caller retries at a random box, which sends the request to an upstream unless it has the
 // request in quarantine.
-void comeAgain(Site& site, Crasher& crasher, Millis bound, uint64_t& bystander) {
+void retryCrasher(Site& site, Crasher& crasher, Millis bound, uint64_t& bystander) {
     const size_t box = site.anyBox();
     if (site.now() < crasher.next) {
         return;
@@ -250,7 +250,7 @@
             crashers.emplace_back().request = fingerprintOf(crashers.size());
         }
         for (Crasher& crasher : crashers) {
-            comeAgain(site, crasher, bound, bystander);
+            retryCrasher(site, crasher, bound, bystander);
         }
         site.play(kStep);
     }
