--- a/include/gateway/LoadExchange.h
+++ b/include/gateway/LoadExchange.h
@@ -69,8 +69,7 @@
     double m_reportAllowance = 0;                // Bytes available for reports.
     MonoTime m_allowanceUpdatedAt;               // When m_reportAllowance was last computed.
     uint64_t m_reportRound = 0;
-    std::optional<uint64_t>
-        m_directoryVersion;  // The version of the boxes last passed to the records.
+    std::optional<uint64_t> m_directoryVersion;  // Of the boxes last passed to the records.
 };
 
 }  // namespace onyx
