--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -46,10 +46,10 @@
     Task<> run();
 
     // Answers a box. Preconditions: none.
-    void onAsk(const std::string& from, const wire::KnowledgeAskT& ask);
+    void onKnowledgeRequest(const std::string& from, const wire::KnowledgeAskT& ask);
 
     // Takes in a box's answer. Preconditions: none.
-    void onReply(const std::string& from, const wire::KnowledgeReplyT& reply);
+    void onKnowledgeReply(const std::string& from, const wire::KnowledgeReplyT& reply);
 
     // A link to a box stands. Preconditions: none.
     void onLinked(const std::string& address);
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -267,9 +267,9 @@
     } else if (const auto* list = body.AsBoxList()) {
         learn(it->second, *list);
     } else if (const auto* ask = body.AsKnowledgeAsk()) {
-        m_sink.onAsk(address, *ask);
+        m_sink.onKnowledgeRequest(address, *ask);
     } else if (const auto* reply = body.AsKnowledgeReply()) {
-        m_sink.onReply(address, *reply);
+        m_sink.onKnowledgeReply(address, *reply);
     } else if (const auto* reports = body.AsCrashReports()) {
         m_sink.onCrashReports(address, *reports);
     }
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -142,7 +142,7 @@
     }
 }
 
-void PeerSync::onAsk(const std::string& from, const wire::KnowledgeAskT& ask) {
+void PeerSync::onKnowledgeRequest(const std::string& from, const wire::KnowledgeAskT& ask) {
     const MonoTime now = ReadClocks().mono;
     if (ask.follows) {
         m_spread.followed(now);
@@ -200,7 +200,7 @@
     }
 }
 
-void PeerSync::onReply(const std::string& from, const wire::KnowledgeReplyT& reply) {
+void PeerSync::onKnowledgeReply(const std::string& from, const wire::KnowledgeReplyT& reply) {
     const bool askedChanges = m_knowledge.endFetch(reply.round) || from == m_watcher;
     takeEvacuations(from, reply);
     const auto asOf = m_knowledge.answered(reply.round, reply.age_ms);
