--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -28,7 +28,7 @@
 };
 
 // What boxes tell each other of.
-struct SharedKnowledge {
+struct SyncedState {
     ConfigurationState& configuration;
     UpstreamList& upstreams;
     EvacuationList& evacuations;
@@ -38,7 +38,7 @@
 class PeerSync {
 public:
     // Preconditions: all arguments outlive it.
-    PeerSync(const GatewaySettings& settings, const Dialect& dialect, const SharedKnowledge& known,
+    PeerSync(const GatewaySettings& settings, const Dialect& dialect, const SyncedState& known,
              StoreController& store, PeerMesh& mesh);
 
     // Asks others, for as long as the process lives. Preconditions: called once; mesh and store
@@ -75,15 +75,15 @@
     };
 
     void step(MonoTime now);
-    void noteDuty(StoreDutyDecision duty, MonoTime now);
-    void askWatcher(MonoTime now);
-    void askOthers(MonoTime now);
+    void updateDuty(StoreDutyDecision duty, MonoTime now);
+    void requestFromWatcher(MonoTime now);
+    void requestFromPeers(MonoTime now);
     void catchUp(const std::string& from, const wire::KnowledgeReplyT& reply, bool askedChanges);
     void fetch(const std::string& from, bool changesOnly);
     void apply(const PeerUpdate& update);
     void addEvacuations(wire::KnowledgeReplyT& reply, MonoTime now) const;
-    void takeEvacuations(const std::string& from, const wire::KnowledgeReplyT& reply);
-    wire::KnowledgeAskT questionOf(uint64_t round) const;
+    void applyEvacuations(const std::string& from, const wire::KnowledgeReplyT& reply);
+    wire::KnowledgeAskT makeRequest(uint64_t round) const;
     KnownAges ages(MonoTime now) const;
     bool isOverdue(MonoTime now) const { return IsOverdue(m_settings.pacing, ages(now)); }
     bool isSeed() const;
@@ -101,7 +101,8 @@
     StoreDutyDecision m_duty;  // Of the last step.
     std::string m_watcher;     // The box that is asked in place of the store; empty: none.
     CopyRead m_copyRead;
-    int m_silentReplies = 0;  // Of the watcher in a row, that told nothing of evacuations.
+    int m_repliesWithoutEvacuations =
+        0;  // Of the watcher in a row, that told nothing of evacuations.
 };
 
 }  // namespace onyx
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -12,10 +12,10 @@
 
 // In milliseconds. How often it is looked at whom to ask and whether to call the store: small
 // beside the shortest of the times that are decided about.
-constexpr Millis kStep = 100;
+constexpr Millis kStepPeriod = 100;
 // A watcher that tells nothing of evacuations in so many answers is of an earlier build; one that
 // has just started does not know of them yet.
-constexpr int kSilentReplies = 4;
+constexpr int kMaxRepliesWithoutEvacuations = 4;
 
 KnowledgeSpreadSettings SpreadSettings(const GatewaySettings& settings) {
     KnowledgeSpreadSettings spread;
@@ -28,7 +28,7 @@
 }  // namespace
 
 PeerSync::PeerSync(const GatewaySettings& settings, const Dialect& dialect,
-                   const SharedKnowledge& known, StoreController& store, PeerMesh& mesh)
+                   const SyncedState& known, StoreController& store, PeerMesh& mesh)
     : m_settings(settings),
       m_dialect(dialect),
       m_configuration(known.configuration),
@@ -41,7 +41,7 @@
 Task<> PeerSync::run() {
     while (true) {
         step(ReadClocks().mono);
-        co_await SleepFor(std::min(kStep, m_settings.pacing.followPeriod));
+        co_await SleepFor(std::min(kStepPeriod, m_settings.pacing.followPeriod));
     }
 }
 
@@ -57,12 +57,12 @@
     const KnowledgeStep step = m_spread.step(around, now);
     m_watcher = step.watcher;
     m_mesh.keepLinked(step.keepLinked);
-    noteDuty(step.duty, now);
+    updateDuty(step.duty, now);
     if (step.asksWatcher) {
-        askWatcher(now);
+        requestFromWatcher(now);
     }
     if (step.asksOthers) {
-        askOthers(now);
+        requestFromPeers(now);
     }
 }
 
@@ -80,7 +80,7 @@
     return seeds.empty() || std::any_of(seeds.begin(), seeds.end(), isSelf);
 }
 
-void PeerSync::noteDuty(StoreDutyDecision duty, MonoTime now) {
+void PeerSync::updateDuty(StoreDutyDecision duty, MonoTime now) {
     if (duty == m_duty) {
         return;
     }
@@ -97,7 +97,8 @@
 
 bool PeerSync::mayCallStore(ObjectKind kind) {
     const MonoTime now = ReadClocks().mono;
-    return (kind == ObjectKind::kEvacuations && m_silentReplies >= kSilentReplies) ||
+    return (kind == ObjectKind::kEvacuations &&
+            m_repliesWithoutEvacuations >= kMaxRepliesWithoutEvacuations) ||
            m_spread.mayCall(ages(now).older(), now);
 }
 
@@ -109,7 +110,7 @@
 void PeerSync::onLinked(const std::string& address) {
     const MonoTime now = ReadClocks().mono;
     if (!ages(now).older()) {
-        m_mesh.send(address, questionOf(m_knowledge.ask(now)));
+        m_mesh.send(address, makeRequest(m_knowledge.ask(now)));
     }
 }
 
@@ -119,7 +120,7 @@
 
 // Changes of upstreams are asked of one box at a time, the watcher or one that has newer ones:
 // eight boxes that are asked for their ages would all send the same.
-wire::KnowledgeAskT PeerSync::questionOf(uint64_t round) const {
+wire::KnowledgeAskT PeerSync::makeRequest(uint64_t round) const {
     wire::KnowledgeAskT ask;
     ask.round = round;
     ask.have = m_configuration.version();
@@ -128,15 +129,15 @@
     return ask;
 }
 
-void PeerSync::askWatcher(MonoTime now) {
-    wire::KnowledgeAskT ask = questionOf(m_knowledge.ask(now));
+void PeerSync::requestFromWatcher(MonoTime now) {
+    wire::KnowledgeAskT ask = makeRequest(m_knowledge.ask(now));
     ask.follows = true;
     ask.want_upstreams = m_upstreams.listed();
     m_mesh.send(m_watcher, ask);
 }
 
-void PeerSync::askOthers(MonoTime now) {
-    const wire::KnowledgeAskT ask = questionOf(m_knowledge.ask(now));
+void PeerSync::requestFromPeers(MonoTime now) {
+    const wire::KnowledgeAskT ask = makeRequest(m_knowledge.ask(now));
     for (const std::string& address : m_knowledge.nextAsked(m_mesh.linked())) {
         m_mesh.send(address, ask);
     }
@@ -180,11 +181,11 @@
 }
 
 // A watcher of an earlier build leaves it to this box to ask the store.
-void PeerSync::takeEvacuations(const std::string& from, const wire::KnowledgeReplyT& reply) {
+void PeerSync::applyEvacuations(const std::string& from, const wire::KnowledgeReplyT& reply) {
     if (from == m_watcher && m_settings.evacuationBound > 0) {
         const bool tellsNone = !reply.tells_evacuations && reply.watches;
-        m_silentReplies = tellsNone ? m_silentReplies + 1 : 0;
-        if (m_silentReplies == kSilentReplies) {
+        m_repliesWithoutEvacuations = tellsNone ? m_repliesWithoutEvacuations + 1 : 0;
+        if (m_repliesWithoutEvacuations == kMaxRepliesWithoutEvacuations) {
             m_store.wake();
         }
     }
@@ -202,7 +203,7 @@
 
 void PeerSync::onKnowledgeReply(const std::string& from, const wire::KnowledgeReplyT& reply) {
     const bool askedChanges = m_knowledge.endFetch(reply.round) || from == m_watcher;
-    takeEvacuations(from, reply);
+    applyEvacuations(from, reply);
     const auto asOf = m_knowledge.answered(reply.round, reply.age_ms);
     if (asOf) {
         apply({reply.content, reply.revision, *asOf, ChangesOf(reply), reply.upstreams_revision,
@@ -274,7 +275,7 @@
     if (!round) {
         return;
     }
-    wire::KnowledgeAskT ask = questionOf(*round);
+    wire::KnowledgeAskT ask = makeRequest(*round);
     ask.no_content = changesOnly;
     ask.want_upstreams = true;
     m_mesh.send(from, ask);
