--- a/include/gateway/StoreController.h
+++ b/include/gateway/StoreController.h
@@ -49,12 +49,12 @@
     void onUpdate(ObjectKind kind, const StoreUpdate& update);
     static void onReachable(ObjectKind kind, const std::string& why);
     void onCall(ObjectKind kind, const StoreCall& call);
-    void takeConfiguration(const StoreUpdate& update);
-    void takeUpstreams(const StoreUpdate& update);
-    void takeEvacuations(const StoreUpdate& update);
-    bool isBehind(const StoreUpdate& update, const StoredConfiguration& configuration) const;
-    UpstreamChanges changesOf(const StoreUpdate& update) const;
-    void noteUnreadable(const std::string& object, const std::string& why) const;
+    void applyConfiguration(const StoreUpdate& update);
+    void applyUpstreams(const StoreUpdate& update);
+    void applyEvacuations(const StoreUpdate& update);
+    bool isOlderCopy(const StoreUpdate& update, const StoredConfiguration& configuration) const;
+    UpstreamChanges makeUpstreamChanges(const StoreUpdate& update) const;
+    void recordUnreadable(const std::string& object, const std::string& why) const;
 
     asio::any_io_executor m_executor;
     const GatewaySettings& m_settings;
@@ -63,7 +63,7 @@
     UpstreamList& m_upstreamList;
     EvacuationList& m_evacuationList;
     Metrics& m_metrics;
-    std::function<StorePacingFacts()> m_facts;
+    std::function<StorePacingFacts()> m_pacingFacts;
     MayCall m_mayCall;
     std::map<ObjectKind, std::unique_ptr<StoreWatch>> m_watches;
 };
--- a/include/gateway/UpstreamList.h
+++ b/include/gateway/UpstreamList.h
@@ -31,7 +31,7 @@
     // Whether there was a list yet. Preconditions: none.
     bool listed() const { return m_listed; }
     // Whether any upstream of it says when it started. Preconditions: none.
-    bool saysStarts() const;
+    bool reportsStartTimes() const;
     // The list. Preconditions: none.
     const UpstreamTable& table() const { return m_table; }
     // How much longer an upstream is cold, in milliseconds; 0: it is not. Preconditions: as above.
--- a/src/gateway/StoreController.cpp
+++ b/src/gateway/StoreController.cpp
@@ -21,7 +21,7 @@
     return "invalid";
 }
 
-bool AnySaysStart(const StoreUpdate& update) {
+bool AnyReportsStartTime(const StoreUpdate& update) {
     return std::any_of(update.objects.begin(), update.objects.end(), [](const StoredObject& o) {
         const auto* upstream = std::get_if<Upstream>(&o.content);
         return upstream != nullptr && upstream->startedMs != 0;
@@ -42,7 +42,7 @@
       m_upstreamList(upstreams),
       m_evacuationList(evacuations),
       m_metrics(metrics),
-      m_facts(std::move(facts)),
+      m_pacingFacts(std::move(facts)),
       m_mayCall(std::move(mayCall)) {}
 
 void StoreController::start() {
@@ -71,7 +71,7 @@
     sink.wait = [this, kind] { return watchWait(kind); };
     sink.pauseAfterChanges = [this, kind] { return pauseAfterChanges(kind); };
     sink.pauseAfterFailure = [this](Millis previous) {
-        return PauseAfterFailure(previous, m_facts());
+        return PauseAfterFailure(previous, m_pacingFacts());
     };
     return std::make_unique<StoreWatch>(m_executor, m_dialect, watch, std::move(sink));
 }
@@ -96,13 +96,14 @@
     const StorePacingSettings& pacing = m_settings.pacing;
     const bool configuration = kind == ObjectKind::kConfiguration;
     const Millis wait = configuration ? pacing.configurationWait : pacing.upstreamWait;
-    return HeldWait(pacing, m_facts(), wait);
+    return HeldWait(pacing, m_pacingFacts(), wait);
 }
 
 // A change of the configuration is to be in force at once, as is an evacuation; those of upstreams
 // come together.
 Millis StoreController::pauseAfterChanges(ObjectKind kind) const {
-    return kind == ObjectKind::kUpstreams ? PauseAfterChanges(m_settings.pacing, m_facts()) : 0;
+    return kind == ObjectKind::kUpstreams ? PauseAfterChanges(m_settings.pacing, m_pacingFacts())
+                                          : 0;
 }
 
 void StoreController::wake() {
@@ -133,18 +134,18 @@
 void StoreController::onUpdate(ObjectKind kind, const StoreUpdate& update) {
     switch (kind) {
         case ObjectKind::kConfiguration:
-            return takeConfiguration(update);
+            return applyConfiguration(update);
         case ObjectKind::kUpstreams:
-            return takeUpstreams(update);
+            return applyUpstreams(update);
         case ObjectKind::kEvacuations:
-            return takeEvacuations(update);
+            return applyEvacuations(update);
     }
 }
 
-void StoreController::takeConfiguration(const StoreUpdate& update) {
+void StoreController::applyConfiguration(const StoreUpdate& update) {
     for (const StoredObject& object : update.objects) {
         if (const auto* configuration = std::get_if<StoredConfiguration>(&object.content)) {
-            if (!isBehind(update, *configuration)) {
+            if (!isOlderCopy(update, *configuration)) {
                 m_configurationState.take(*configuration);
             }
         } else if (const auto* error = std::get_if<Error>(&object.content)) {
@@ -157,18 +158,18 @@
 }
 
 // Whether a copy of the store has not got as far as this box has.
-bool StoreController::isBehind(const StoreUpdate& update,
-                               const StoredConfiguration& configuration) const {
+bool StoreController::isOlderCopy(const StoreUpdate& update,
+                                  const StoredConfiguration& configuration) const {
     return !update.asOf && m_configurationState.catalog() &&
            configuration.parts.version < m_configurationState.version();
 }
 
-void StoreController::takeUpstreams(const StoreUpdate& update) {
+void StoreController::applyUpstreams(const StoreUpdate& update) {
     // What another box had may be ahead of an answer that was on its way, and of any copy. A list
     // of the store itself counts also where it is behind: the store was restored.
     const bool authoritative = update.whole && update.asOf;
     if (authoritative || update.revision >= m_upstreamList.table().revision()) {
-        m_upstreamList.apply(changesOf(update), "store", ReadClocks().mono);
+        m_upstreamList.apply(makeUpstreamChanges(update), "store", ReadClocks().mono);
     }
     if (update.asOf) {
         m_upstreamList.confirm(*update.asOf);
@@ -176,14 +177,14 @@
 }
 
 // What cannot be read names no zone; the orders that stand hold.
-void StoreController::takeEvacuations(const StoreUpdate& update) {
+void StoreController::applyEvacuations(const StoreUpdate& update) {
     EvacuationChanges changes;
     changes.whole = update.whole;
     changes.revision = update.revision;
     std::map<std::string, bool> stands;  // The last word on a zone counts.
     for (const StoredObject& object : update.objects) {
         if (const auto* error = std::get_if<Error>(&object.content)) {
-            noteUnreadable("evacuation " + object.name, error->text());
+            recordUnreadable("evacuation " + object.name, error->text());
         } else {
             stands[object.name] = !object.removed;
         }
@@ -198,19 +199,20 @@
     }
 }
 
-void StoreController::noteUnreadable(const std::string& object, const std::string& why) const {
+void StoreController::recordUnreadable(const std::string& object, const std::string& why) const {
     m_metrics.count("onyx_objects_unreadable_total");
     logEvent(Event::kObjectBad, {{"object", object}, {"why", why}});
 }
 
 // Where upstreams say when they started, all do: an entry that does not is of another writer, and
 // one that names no upstream must not take the place of one that did.
-UpstreamChanges StoreController::changesOf(const StoreUpdate& update) const {
+UpstreamChanges StoreController::makeUpstreamChanges(const StoreUpdate& update) const {
     UpstreamChanges changes;
     changes.whole = update.whole;
     changes.revision = update.revision;
     std::set<std::string_view> seen;
-    const bool saysStarts = AnySaysStart(update) || m_upstreamList.saysStarts();
+    const bool reportsStartTimes =
+        AnyReportsStartTime(update) || m_upstreamList.reportsStartTimes();
     // The last word on an object counts: an upstream may drain and be removed within one answer.
     for (auto it = update.objects.rbegin(); it != update.objects.rend(); ++it) {
         const StoredObject& object = *it;
@@ -220,11 +222,11 @@
         if (object.removed) {
             changes.removed.push_back(object.name);
         } else if (const auto* error = std::get_if<Error>(&object.content)) {
-            noteUnreadable(object.name, error->text());
+            recordUnreadable(object.name, error->text());
             changes.removed.push_back(object.name);
         } else if (const auto* upstream = std::get_if<Upstream>(&object.content)) {
-            if (saysStarts && upstream->startedMs == 0) {
-                noteUnreadable(object.name, "it says no start, and others do");
+            if (reportsStartTimes && upstream->startedMs == 0) {
+                recordUnreadable(object.name, "it says no start, and others do");
                 changes.removed.push_back(object.name);
             } else {
                 changes.changed.push_back(*upstream);
--- a/src/gateway/UpstreamList.cpp
+++ b/src/gateway/UpstreamList.cpp
@@ -65,7 +65,7 @@
     }
 }
 
-bool UpstreamList::saysStarts() const {
+bool UpstreamList::reportsStartTimes() const {
     const auto& all = m_table.all();
     return std::any_of(all.begin(), all.end(),
                        [](const auto& entry) { return entry.second.upstream.startedMs != 0; });
