--- a/include/gateway/UpstreamList.h
+++ b/include/gateway/UpstreamList.h
@@ -42,7 +42,7 @@
 private:
     void take(Upstream upstream, uint64_t revision, std::string_view source, MonoTime now);
     bool saysNew(const Upstream& upstream, MonoTime now) const;
-    void noteStart(const Upstream& upstream, std::string_view source);
+    void recordStart(const Upstream& upstream, std::string_view source);
     void put(const Upstream& upstream, uint64_t revision, std::string_view source, MonoTime now);
     void remove(const std::string& id, uint64_t revision, std::string_view source);
 
--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -77,17 +77,17 @@
 
     // The upstream is listed with this start. A later one than before ends all that is known of it
     // and the attempts under way there, and returns the start before. Preconditions: none.
-    std::optional<int64_t> noteStart(const Incarnation& upstream);
+    std::optional<int64_t> recordStart(const Incarnation& upstream);
     // Whether a later start of it is known: what is said of this one is void. Preconditions: none.
-    bool isPast(const Incarnation& upstream) const;
+    bool isSuperseded(const Incarnation& upstream) const;
     // The start that is known of an upstream; 0: none. Preconditions: none.
-    int64_t startOf(const std::string& id) const;
+    int64_t latestStartOf(const std::string& id) const;
     // Whether what another box says of an upstream, by its number, is of the incarnation that is
     // known here. `tag`: its StartTag; 0, of a box that does not say: believed unless the upstream
     // was seen to start again. Preconditions: none.
     bool isCurrent(uint32_t number, uint8_t tag) const;
     // The tag that this box sends with a number. Preconditions: none.
-    uint8_t tagOf(uint32_t number) const;
+    uint8_t startTagOf(uint32_t number) const;
 
     // Takes in what an attempt that began at `sent` saw of its upstream; true if that is ejected
     // from now on. Preconditions: sent <= now, which does not fall.
@@ -159,7 +159,7 @@
 
 private:
     // The latest start that is known of an upstream.
-    struct Life {
+    struct LatestStart {
         int64_t startedMs = 0;
         bool restarted = false;  // It was seen to start again under its id.
     };
@@ -168,7 +168,7 @@
         std::function<void()> onRestart;
     };
 
-    void endLife(const Incarnation& upstream);
+    void endIncarnation(const Incarnation& upstream);
 
     UpstreamHealth m_health;
     UpstreamAvoidance m_avoidance;
@@ -179,8 +179,9 @@
     CacheDirectory m_caches;
     PromptShares m_prompts;
     UpstreamPool m_pool;
-    std::unordered_map<uint32_t, Life> m_lives;  // By upstream number; also of some that are gone.
-    std::map<uint64_t, UnderWay> m_underWay;     // Attempts, by number.
+    std::unordered_map<uint32_t, LatestStart>
+        m_latestStarts;                       // By upstream number; also of some that are gone.
+    std::map<uint64_t, UnderWay> m_underWay;  // Attempts, by number.
     uint64_t m_attempts = 0;
     size_t m_boxRank = 0;
 };
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -106,7 +106,7 @@
 
 // What an earlier incarnation did says nothing of the one that is there now.
 bool Attempt::isOfPast() const {
-    return m_context.records.isPast(m_place.upstream.incarnation());
+    return m_context.records.isSuperseded(m_place.upstream.incarnation());
 }
 
 void Attempt::learnFromHead() {
--- a/src/gateway/CrashDetector.cpp
+++ b/src/gateway/CrashDetector.cpp
@@ -33,7 +33,7 @@
     const Upstream upstream = m_pending.at(upstreamId).upstream;
     std::string address = upstream.address;
     const bool refused = co_await isRefused(std::move(address));
-    const bool restarted = m_records.isPast(upstream.incarnation());
+    const bool restarted = m_records.isSuperseded(upstream.incarnation());
     const Pending ended = std::move(m_pending.at(upstreamId));
     m_pending.erase(upstreamId);
     if (refused || restarted) {
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -136,7 +136,7 @@
         const auto load = static_cast<uint16_t>(std::min(report.load, kMaxCount));
         const auto age = static_cast<uint16_t>(std::min<Millis>(now - report.asOf, kMaxCount));
         message.reports.emplace_back(report.upstream, load, age);
-        message.starts.push_back(m_records.tagOf(report.upstream));
+        message.starts.push_back(m_records.startTagOf(report.upstream));
     }
     OutgoingFrame outgoing{std::move(targets), EncodeMessage(std::move(message))};
     m_reportAllowance -= static_cast<double>(outgoing.frame.size() * outgoing.to.size());
@@ -157,11 +157,11 @@
     for (const auto& [upstream, count] : counts) {
         const auto load = static_cast<uint16_t>(std::min(count, kMaxCount));
         digest.loads.emplace_back(upstream, load, false);
-        digest.load_starts.push_back(m_records.tagOf(upstream));
+        digest.load_starts.push_back(m_records.startTagOf(upstream));
     }
     for (const CacheHolding& holding : m_records.takeAnnouncements()) {
         digest.cached.emplace_back(holding.part, holding.upstream);
-        digest.cached_starts.push_back(m_records.tagOf(holding.upstream));
+        digest.cached_starts.push_back(m_records.startTagOf(holding.upstream));
     }
     return digest;
 }
--- a/src/gateway/UpstreamList.cpp
+++ b/src/gateway/UpstreamList.cpp
@@ -78,8 +78,8 @@
                : m_records.cold().coldLeft(upstream->incarnation(), now).value_or(0);
 }
 
-void UpstreamList::noteStart(const Upstream& upstream, std::string_view source) {
-    const auto before = m_records.noteStart(upstream.incarnation());
+void UpstreamList::recordStart(const Upstream& upstream, std::string_view source) {
+    const auto before = m_records.recordStart(upstream.incarnation());
     if (before) {
         logEvent(Event::kUpstreamRestarted, {{"upstream", upstream.id},
                                              {"start_before_ms", std::to_string(*before)},
@@ -93,9 +93,9 @@
 void UpstreamList::take(Upstream upstream, uint64_t revision, std::string_view source,
                         MonoTime now) {
     if (upstream.startedMs == 0) {
-        upstream.startedMs = m_records.startOf(upstream.id);
+        upstream.startedMs = m_records.latestStartOf(upstream.id);
     }
-    if (!m_records.isPast(upstream.incarnation())) {
+    if (!m_records.isSuperseded(upstream.incarnation())) {
         put(upstream, revision, source, now);
     }
 }
@@ -118,7 +118,7 @@
     if (!saysNew(upstream, now)) {
         return;
     }
-    noteStart(upstream, source);
+    recordStart(upstream, source);
     if (upstream.draining) {
         m_records.dropConnections(upstream.id);
     }
--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -12,7 +12,7 @@
 
 // Starts remembered, those of upstreams that are gone included; far above a site's. Beyond it all
 // are learned anew.
-constexpr size_t kMaxLives = 65536;
+constexpr size_t kMaxRecordedStarts = 65536;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 
 uint64_t UpstreamRecords::attemptBegan(const Incarnation& upstream,
                                        std::function<void()> onRestart) {
-    if (!isPast(upstream)) {
+    if (!isSuperseded(upstream)) {
         m_loads.enter(upstream.id);
     }
     m_underWay[++m_attempts] = {upstream, std::move(onRestart)};
@@ -38,64 +38,64 @@
     if (it == m_underWay.end()) {
         return;
     }
-    if (!isPast(it->second.upstream)) {
+    if (!isSuperseded(it->second.upstream)) {
         m_loads.leave(it->second.upstream.id);
     }
     m_underWay.erase(it);
 }
 
-int64_t UpstreamRecords::startOf(const std::string& id) const {
-    const auto it = m_lives.find(ShortHash(id));
-    return it == m_lives.end() ? 0 : it->second.startedMs;
+int64_t UpstreamRecords::latestStartOf(const std::string& id) const {
+    const auto it = m_latestStarts.find(ShortHash(id));
+    return it == m_latestStarts.end() ? 0 : it->second.startedMs;
 }
 
-bool UpstreamRecords::isPast(const Incarnation& upstream) const {
-    return upstream.startedMs < startOf(upstream.id);
+bool UpstreamRecords::isSuperseded(const Incarnation& upstream) const {
+    return upstream.startedMs < latestStartOf(upstream.id);
 }
 
 bool UpstreamRecords::isCurrent(uint32_t number, uint8_t tag) const {
-    const auto it = m_lives.find(number);
-    if (it == m_lives.end()) {
+    const auto it = m_latestStarts.find(number);
+    if (it == m_latestStarts.end()) {
         return true;
     }
     return tag == 0 ? !it->second.restarted : tag == StartTag(it->second.startedMs);
 }
 
-uint8_t UpstreamRecords::tagOf(uint32_t number) const {
-    const auto it = m_lives.find(number);
-    return it == m_lives.end() ? 0 : StartTag(it->second.startedMs);
+uint8_t UpstreamRecords::startTagOf(uint32_t number) const {
+    const auto it = m_latestStarts.find(number);
+    return it == m_latestStarts.end() ? 0 : StartTag(it->second.startedMs);
 }
 
-std::optional<int64_t> UpstreamRecords::noteStart(const Incarnation& upstream) {
+std::optional<int64_t> UpstreamRecords::recordStart(const Incarnation& upstream) {
     if (upstream.startedMs == 0) {
         return std::nullopt;
     }
-    if (m_lives.size() >= kMaxLives) {
-        m_lives.clear();
+    if (m_latestStarts.size() >= kMaxRecordedStarts) {
+        m_latestStarts.clear();
     }
-    Life& life = m_lives[ShortHash(upstream.id)];
+    LatestStart& life = m_latestStarts[ShortHash(upstream.id)];
     const int64_t before = std::exchange(life.startedMs, upstream.startedMs);
     if (before == 0 || before >= upstream.startedMs) {
         life.startedMs = std::max(before, upstream.startedMs);
         return std::nullopt;
     }
     life.restarted = true;
-    endLife(upstream);
+    endIncarnation(upstream);
     return before;
 }
 
 // What is known of the upstream is of the one before, and its requests have ended: an attempt that
 // waits for an answer learns it now and not at its deadline.
-void UpstreamRecords::endLife(const Incarnation& upstream) {
+void UpstreamRecords::endIncarnation(const Incarnation& upstream) {
     const uint32_t number = ShortHash(upstream.id);
     m_pool.drop(upstream.id);
     m_health.forget(upstream.id);
-    m_loads.endLife(upstream.id);
+    m_loads.endIncarnation(upstream.id);
     m_peerCounts.forgetUpstream(number);
     m_caches.forgetHolder(number);
     std::vector<std::function<void()>> ended;
     for (const auto& [attempt, underWay] : m_underWay) {
-        if (underWay.upstream.id == upstream.id && isPast(underWay.upstream)) {
+        if (underWay.upstream.id == upstream.id && isSuperseded(underWay.upstream)) {
             ended.push_back(underWay.onRestart);
         }
     }
--- a/tests/UpstreamListTest.cpp
+++ b/tests/UpstreamListTest.cpp
@@ -139,12 +139,12 @@
     UpstreamRecords records(io.get_executor(), HealthSettings());
     const uint32_t number = ShortHash("a");
     CHECK(records.isCurrent(number, StartTag(1000)));  // Not listed here yet.
-    records.noteStart({"a", 1000});
-    CHECK(records.tagOf(number) == StartTag(1000));
+    records.recordStart({"a", 1000});
+    CHECK(records.startTagOf(number) == StartTag(1000));
     CHECK(records.isCurrent(number, StartTag(1000)));
     CHECK(records.isCurrent(number, 0));  // An earlier version, and only one incarnation was seen.
     CHECK_FALSE(records.isCurrent(number, StartTag(2000)));
-    records.noteStart({"a", 2000});
+    records.recordStart({"a", 2000});
     CHECK_FALSE(records.isCurrent(number, StartTag(1000)));
     CHECK_FALSE(records.isCurrent(number, 0));
     CHECK(records.isCurrent(number, StartTag(2000)));
