--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -71,9 +71,9 @@
 
     // Counts an attempt in; `onRestart` is called if the upstream starts again while it runs. It
     // may count the attempt out. Preconditions: each that began is counted out once.
-    uint64_t attemptBegan(const Incarnation& upstream, std::function<void()> onRestart);
-    // Counts an attempt out, by what attemptBegan() returned.
-    void attemptEnded(uint64_t attempt);
+    uint64_t beginAttempt(const Incarnation& upstream, std::function<void()> onRestart);
+    // Counts an attempt out, by what beginAttempt() returned.
+    void endAttempt(uint64_t attempt);
 
     // The upstream is listed with this start. A later one than before ends all that is known of it
     // and the attempts under way there, and returns the start before. Preconditions: none.
@@ -163,7 +163,7 @@
         int64_t startedMs = 0;
         bool restarted = false;  // It was seen to start again under its id.
     };
-    struct UnderWay {
+    struct ActiveAttempt {
         Incarnation upstream;
         std::function<void()> onRestart;
     };
@@ -180,9 +180,9 @@
     PromptShares m_prompts;
     UpstreamPool m_pool;
     std::unordered_map<uint32_t, LatestStart>
-        m_latestStarts;                       // By upstream number; also of some that are gone.
-    std::map<uint64_t, UnderWay> m_underWay;  // Attempts, by number.
-    uint64_t m_attempts = 0;
+        m_latestStarts;  // By upstream number; also of some that are gone.
+    std::map<uint64_t, ActiveAttempt> m_activeAttempts;  // Attempts, by number.
+    uint64_t m_lastAttempt = 0;
     size_t m_boxRank = 0;
 };
 
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -18,12 +18,12 @@
 Task<AttemptReport> Attempt::run() {
     const std::string& upstream = m_place.upstream.id;
     m_caller.watch([exchange = m_exchange] { exchange->cancel(); });
-    const uint64_t attempt = m_context.records.attemptBegan(
+    const uint64_t attempt = m_context.records.beginAttempt(
         m_place.upstream.incarnation(), [exchange = m_exchange] { exchange->cancel(); });
     const RelayEnd ended = co_await exchange();
     m_caller.unwatch();
     m_exchange->finish();
-    m_context.records.attemptEnded(attempt);
+    m_context.records.endAttempt(attempt);
     noteHealth(ended.end);
     AttemptReport report;
     report.upstream = upstream;
--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -22,26 +22,26 @@
     m_loads.forget(id);
 }
 
-uint64_t UpstreamRecords::attemptBegan(const Incarnation& upstream,
+uint64_t UpstreamRecords::beginAttempt(const Incarnation& upstream,
                                        std::function<void()> onRestart) {
     if (!isSuperseded(upstream)) {
         m_loads.enter(upstream.id);
     }
-    m_underWay[++m_attempts] = {upstream, std::move(onRestart)};
-    return m_attempts;
+    m_activeAttempts[++m_lastAttempt] = {upstream, std::move(onRestart)};
+    return m_lastAttempt;
 }
 
 // Those of an earlier incarnation went with it: counted out here, they would be missing among the
 // requests of the next.
-void UpstreamRecords::attemptEnded(uint64_t attempt) {
-    const auto it = m_underWay.find(attempt);
-    if (it == m_underWay.end()) {
+void UpstreamRecords::endAttempt(uint64_t attempt) {
+    const auto it = m_activeAttempts.find(attempt);
+    if (it == m_activeAttempts.end()) {
         return;
     }
     if (!isSuperseded(it->second.upstream)) {
         m_loads.leave(it->second.upstream.id);
     }
-    m_underWay.erase(it);
+    m_activeAttempts.erase(it);
 }
 
 int64_t UpstreamRecords::latestStartOf(const std::string& id) const {
@@ -94,9 +94,9 @@
     m_peerCounts.forgetUpstream(number);
     m_caches.forgetHolder(number);
     std::vector<std::function<void()>> ended;
-    for (const auto& [attempt, underWay] : m_underWay) {
-        if (underWay.upstream.id == upstream.id && isSuperseded(underWay.upstream)) {
-            ended.push_back(underWay.onRestart);
+    for (const auto& [attempt, active] : m_activeAttempts) {
+        if (active.upstream.id == upstream.id && isSuperseded(active.upstream)) {
+            ended.push_back(active.onRestart);
         }
     }
     for (const auto& onRestart : ended) {
--- a/tests/Fleet.cpp
+++ b/tests/Fleet.cpp
@@ -174,7 +174,7 @@
                                      parts,     tried,   m_random()};
     const auto place =
         PlaceAttempt({m_settings, box.upstreams, box.records, m_evacuations}, question, m_now);
-    work->attempt = box.records.attemptBegan(place->upstream.incarnation(), [] {});
+    work->attempt = box.records.beginAttempt(place->upstream.incarnation(), [] {});
     m_figures.preferred += place->reason == PlacementReason::kPreferred ? 1 : 0;
     work->parts = parts;
     work->server = m_serverByName.at(place->upstream.id);
@@ -205,7 +205,7 @@
         const auto work = server.waiting.front();
         server.waiting.erase(server.waiting.begin());
         ++server.working;
-        m_underWay[work->number] = work;
+        m_activeAttempts[work->number] = work;
         at(m_now + work->firstAnswer, [this, work] {
             if (work->ended) {
                 return;
@@ -228,14 +228,14 @@
         return;
     }
     work->ended = true;
-    m_underWay.erase(work->number);
+    m_activeAttempts.erase(work->number);
     --m_servers[work->server]->working;
     --m_held;
     admitWaiting(work->server);
     at(m_now + kRequestDelay, [this, work] {
         Box& box = *m_boxes[work->box];
         if (box.life == work->life) {
-            box.records.attemptEnded(work->attempt);
+            box.records.endAttempt(work->attempt);
         }
     });
 }
@@ -256,7 +256,7 @@
         });
         m_held -= dropped;
     }
-    const auto underWay = m_underWay;
+    const auto underWay = m_activeAttempts;
     for (const auto& [number, work] : underWay) {
         if (m_boxes[work->box]->life != work->life) {
             end(work);
--- a/tests/UpstreamListTest.cpp
+++ b/tests/UpstreamListTest.cpp
@@ -77,7 +77,7 @@
     records.noteReportedLoad("a", 7, {100});
     records.notePrompt(parts, "a", {100});
     int restarts = 0;
-    const uint64_t early = records.attemptBegan({"a", 1000}, [&] { ++restarts; });
+    const uint64_t early = records.beginAttempt({"a", 1000}, [&] { ++restarts; });
     records.notePeerLoads("box", {{ShortHash("a"), 5}}, {100}, 5000);
     REQUIRE(records.load("a", {100}).exact > 0);
 
@@ -90,14 +90,14 @@
     CHECK(list.table().all().at("a").since == MonoTime{200});
 
     // An attempt of before that ends late takes no count from the new one.
-    const uint64_t late = records.attemptBegan({"a", 2000}, [&] { ++restarts; });
-    records.attemptEnded(early);
+    const uint64_t late = records.beginAttempt({"a", 2000}, [&] { ++restarts; });
+    records.endAttempt(early);
     CHECK(records.load("a", {200}).exact == 1);
     // One that was placed before and begins late does not count there.
-    const uint64_t placedBefore = records.attemptBegan({"a", 1000}, [] {});
+    const uint64_t placedBefore = records.beginAttempt({"a", 1000}, [] {});
     CHECK(records.load("a", {200}).exact == 1);
-    records.attemptEnded(placedBefore);
-    records.attemptEnded(late);
+    records.endAttempt(placedBefore);
+    records.endAttempt(late);
     CHECK(records.load("a", {200}).exact == 0);
     CHECK(restarts == 1);
 }
