--- a/include/gateway/PlaceAttempt.h
+++ b/include/gateway/PlaceAttempt.h
@@ -42,7 +42,7 @@
     std::optional<Millis> reportAge;  // Of what the upstream told last; nothing: it never did.
     double meanLoad = 0;              // Of those that it could have been.
     int bound = 0;                    // From this load on an upstream counted as full.
-    size_t boxesHeard = 0;            // Other boxes whose counts are part of it.
+    size_t peersWithLoads = 0;        // Other boxes whose counts are part of it.
 };
 
 // Where an attempt goes, and why.
--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -28,7 +28,7 @@
 namespace onyx {
 
 // How loaded an upstream is, and by what.
-struct KnownLoad {
+struct UpstreamLoad {
     int counted = 0;  // Requests of this box and of those that announce theirs here.
     int exact = 0;    // All boxes' requests, where all announce theirs here.
     std::optional<AgedReport> report;  // What the upstream told last.
@@ -46,7 +46,7 @@
     }
 
     // What this box knows of the requests at an upstream. Preconditions: as above.
-    KnownLoad load(const std::string& id, MonoTime now) const;
+    UpstreamLoad load(const std::string& id, MonoTime now) const;
 
     // This box's requests at an upstream. Preconditions: none.
     int ownLoad(const std::string& id) const { return m_loads.own(id); }
@@ -64,7 +64,7 @@
     double countedShare() const { return m_peerCounts.countedShare(); }
 
     // Other boxes whose loads count now. Preconditions: none.
-    size_t boxesHeard() const { return m_peerCounts.boxes(); }
+    size_t peersWithLoads() const { return m_peerCounts.boxes(); }
 
     // Who holds which parts of prompts. Preconditions: none.
     const CacheDirectory& caches() const { return m_caches; }
@@ -91,7 +91,7 @@
 
     // Takes in what an attempt that began at `sent` saw of its upstream; true if that is ejected
     // from now on. Preconditions: sent <= now, which does not fall.
-    bool noteSign(const std::string& id, UpstreamSign sign, MonoTime sent, MonoTime now);
+    bool recordSign(const std::string& id, UpstreamSign sign, MonoTime sent, MonoTime now);
 
     // What upstreams ask for in their answers. Preconditions: none.
     UpstreamAvoidance& avoidance() { return m_avoidance; }
@@ -105,7 +105,8 @@
 
     // An upstream began to answer a prompt with these shared parts, so it has read them.
     // Preconditions: times do not fall.
-    void notePrompt(std::span<const std::string> sharedParts, const std::string& id, MonoTime now);
+    void recordPrompt(std::span<const std::string> sharedParts, const std::string& id,
+                      MonoTime now);
 
     // The share of this box's recent requests that asked for this prompt, 0 if it has no shared
     // part. Preconditions: none.
@@ -132,8 +133,8 @@
 
     // What another box announces; its loads count for `believed` milliseconds.
     // Preconditions: believed > 0; times do not fall.
-    void notePeerLoads(const std::string& box, PeerCounts::Counts counts, MonoTime now,
-                       Millis believed) {
+    void recordPeerLoads(const std::string& box, PeerCounts::Counts counts, MonoTime now,
+                         Millis believed) {
         m_peerCounts.take(box, std::move(counts), now, believed);
     }
     // Loads that upstreams reported, as other boxes pass them on, and what is to be passed on to
@@ -145,7 +146,7 @@
     std::vector<LoadReport> takeDueReports(size_t most, MonoTime now) {
         return m_loads.takeDueReports(most, now);
     }
-    void noteHolding(const CacheHolding& holding, MonoTime now) { m_caches.learn(holding, now); }
+    void recordHolding(const CacheHolding& holding, MonoTime now) { m_caches.learn(holding, now); }
     // Forgets the loads of a box whose link is gone, and those that are no longer believed.
     // Preconditions: none.
     void forgetPeer(const std::string& box) { m_peerCounts.forget(box); }
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -130,7 +130,7 @@
     }
     // With the head of a good answer the upstream has read the prompt.
     if (facts.authentic) {
-        m_context.records.notePrompt(m_request.facts.sharedParts, upstream, now);
+        m_context.records.recordPrompt(m_request.facts.sharedParts, upstream, now);
     }
     if (!facts.unreadable.empty()) {
         m_context.log.headUnreadable(m_request.facts.id, upstream, facts.unreadable);
@@ -147,7 +147,7 @@
         return;
     }
     const std::string& upstream = m_place.upstream.id;
-    if (m_context.records.noteSign(upstream, *sign, m_start, ReadClocks().mono)) {
+    if (m_context.records.recordSign(upstream, *sign, m_start, ReadClocks().mono)) {
         m_context.log.ejected(upstream, end);
     }
 }
--- a/src/gateway/LoadExchange.cpp
+++ b/src/gateway/LoadExchange.cpp
@@ -213,12 +213,12 @@
     for (size_t i = 0; i < digest.cached.size(); ++i) {
         const auto& cached = digest.cached[i];
         if (m_records.isCurrent(cached.upstream(), TagAt(digest.cached_starts, i))) {
-            m_records.noteHolding({cached.part(), cached.upstream()}, now);
+            m_records.recordHolding({cached.part(), cached.upstream()}, now);
         }
     }
     const auto period = static_cast<Millis>(digest.next_ms);
     const Millis believed = std::max(kMinBelieved, kPeriodsBelieved * period);
-    m_records.notePeerLoads(from, std::move(counts), now, believed);
+    m_records.recordPeerLoads(from, std::move(counts), now, believed);
 }
 
 }  // namespace onyx
--- a/src/gateway/PlaceAttempt.cpp
+++ b/src/gateway/PlaceAttempt.cpp
@@ -89,7 +89,7 @@
 
 // What is known of the loads of a service's upstreams, in their order.
 struct ServiceLoads {
-    std::vector<KnownLoad> known;
+    std::vector<UpstreamLoad> known;
     std::vector<int> loads;      // All boxes' requests at each, as far as this box can tell.
     std::optional<double> mean;  // Of them all, where it is known better than by `loads`.
 
@@ -101,7 +101,7 @@
 
 // Where only some boxes announce their requests, what an upstream reported goes first: the others'
 // counts are no measure of a single one.
-int EstimatedLoad(const LoadEstimate& estimate, const KnownLoad& known) {
+int EstimatedLoad(const LoadEstimate& estimate, const UpstreamLoad& known) {
     const double load =
         known.report ? estimate.fromReport(*known.report) : estimate.fromCount(known.counted);
     return static_cast<int>(std::lround(load));
@@ -112,7 +112,7 @@
     ServiceLoads service;
     std::vector<int> counted;
     for (const Upstream* upstream : upstreams) {
-        const KnownLoad known = records.load(upstream->id, now);
+        const UpstreamLoad known = records.load(upstream->id, now);
         service.known.push_back(known);
         service.loads.push_back(known.exact);
         counted.push_back(known.counted);
@@ -123,7 +123,7 @@
     const LoadEstimate estimate(counted, records.countedShare());
     service.mean = estimate.mean();
     std::transform(service.known.begin(), service.known.end(), service.loads.begin(),
-                   [&](const KnownLoad& known) { return EstimatedLoad(estimate, known); });
+                   [&](const UpstreamLoad& known) { return EstimatedLoad(estimate, known); });
     return service;
 }
 
@@ -137,7 +137,7 @@
     std::vector<int> loads;
     for (const auto* upstreams : {&eligible.upstreams, &eligible.zonesLeftOut}) {
         for (const Upstream* upstream : *upstreams) {
-            const KnownLoad known = records.load(upstream->id, now);
+            const UpstreamLoad known = records.load(upstream->id, now);
             loads.push_back(records.loadsAreSampled() ? known.counted : known.exact);
         }
     }
@@ -240,7 +240,7 @@
                               records.reportAge(takingWork[chosen->index]->id, now),
                               chosen->meanLoad,
                               chosen->bound,
-                              records.boxesHeard()};
+                              records.peersWithLoads()};
     AttemptPlace place{*takingWork[chosen->index], chosen->reason, loads, std::nullopt,
                        eligible.leftOut};
     if (question.spec != nullptr && question.spec->fetchesCache) {
--- a/src/gateway/RequestLog.cpp
+++ b/src/gateway/RequestLog.cpp
@@ -49,7 +49,7 @@
               {"report_age_ms", NumberOr(place.loads.reportAge, "none")},
               {"mean_load", fmt::format("{:.1f}", place.loads.meanLoad)},
               {"load_bound", std::to_string(place.loads.bound)},
-              {"boxes_heard", std::to_string(place.loads.boxesHeard)},
+              {"boxes_heard", std::to_string(place.loads.peersWithLoads)},
               {"left_out", place.leftOut.text()},
               {"prompt", facts.sharedParts.empty() ? std::string() : facts.sharedParts.back()},
               {"prompt_tokens", std::to_string(facts.promptTokens)},
--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -104,13 +104,13 @@
     }
 }
 
-KnownLoad UpstreamRecords::load(const std::string& id, MonoTime now) const {
+UpstreamLoad UpstreamRecords::load(const std::string& id, MonoTime now) const {
     const int counted = m_loads.own(id) + m_peerCounts.at(id);
     return {counted, std::max(m_loads.total(id, now), counted), m_loads.lastReport(id, now)};
 }
 
-void UpstreamRecords::notePrompt(std::span<const std::string> sharedParts, const std::string& id,
-                                 MonoTime now) {
+void UpstreamRecords::recordPrompt(std::span<const std::string> sharedParts, const std::string& id,
+                                   MonoTime now) {
     m_caches.recordAnswer(sharedParts, id, now);
     if (!sharedParts.empty()) {
         m_prompts.note(ShortHash(sharedParts.back()), now);
@@ -121,8 +121,8 @@
     return sharedParts.empty() ? 0 : m_prompts.share(ShortHash(sharedParts.back()), now);
 }
 
-bool UpstreamRecords::noteSign(const std::string& id, UpstreamSign sign, MonoTime sent,
-                               MonoTime now) {
+bool UpstreamRecords::recordSign(const std::string& id, UpstreamSign sign, MonoTime sent,
+                                 MonoTime now) {
     if (!m_health.note(id, sign, sent, now)) {
         return false;
     }
--- a/tests/Fleet.cpp
+++ b/tests/Fleet.cpp
@@ -214,7 +214,7 @@
             at(m_now + kRequestDelay, [this, work, held] {
                 Box& box = *m_boxes[work->box];
                 if (box.life == work->life) {
-                    box.records.notePrompt(work->parts, ServerName(work->server), m_now);
+                    box.records.recordPrompt(work->parts, ServerName(work->server), m_now);
                     box.records.noteReportedLoad(ServerName(work->server), held, m_now);
                 }
             });
--- a/tests/UpstreamListTest.cpp
+++ b/tests/UpstreamListTest.cpp
@@ -25,7 +25,7 @@
 
 // Ejects an upstream by a refused connection.
 void Eject(UpstreamRecords& records, const std::string& id) {
-    records.noteSign(id, UpstreamSign::kUnreachable, {0}, {0});
+    records.recordSign(id, UpstreamSign::kUnreachable, {0}, {0});
 }
 
 }  // namespace
@@ -75,10 +75,10 @@
     list.apply(Started(3, 1000), "store", {100});
     Eject(records, "a");
     records.noteReportedLoad("a", 7, {100});
-    records.notePrompt(parts, "a", {100});
+    records.recordPrompt(parts, "a", {100});
     int restarts = 0;
     const uint64_t early = records.beginAttempt({"a", 1000}, [&] { ++restarts; });
-    records.notePeerLoads("box", {{ShortHash("a"), 5}}, {100}, 5000);
+    records.recordPeerLoads("box", {{ShortHash("a"), 5}}, {100}, 5000);
     REQUIRE(records.load("a", {100}).exact > 0);
 
     list.apply(Started(4, 2000), "store", {200});
