--- a/include/gateway/UpstreamList.h
+++ b/include/gateway/UpstreamList.h
@@ -29,7 +29,7 @@
     void confirm(MonoTime asOf) { m_age.confirm(asOf); }
 
     // Whether there was a list yet. Preconditions: none.
-    bool listed() const { return m_listed; }
+    bool hasList() const { return m_hasList; }
     // Whether any upstream of it says when it started. Preconditions: none.
     bool reportsStartTimes() const;
     // The list. Preconditions: none.
@@ -41,14 +41,14 @@
 
 private:
     void take(Upstream upstream, uint64_t revision, std::string_view source, MonoTime now);
-    bool saysNew(const Upstream& upstream, MonoTime now) const;
+    bool isChange(const Upstream& upstream, MonoTime now) const;
     void recordStart(const Upstream& upstream, std::string_view source);
     void put(const Upstream& upstream, uint64_t revision, std::string_view source, MonoTime now);
     void remove(const std::string& id, uint64_t revision, std::string_view source);
 
     UpstreamRecords& m_records;
     UpstreamTable m_table;
-    bool m_listed = false;
+    bool m_hasList = false;
     KnowledgeAge m_age;
 };
 
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -68,7 +68,7 @@
 
 bool PeerSync::isIdle() const {
     const bool empty = m_upstreams.table().all().empty() || !m_configuration.catalog();
-    return m_upstreams.listed() && empty;
+    return m_upstreams.hasList() && empty;
 }
 
 // A box without seeds has nobody to ask when it starts.
@@ -132,7 +132,7 @@
 void PeerSync::requestFromWatcher(MonoTime now) {
     wire::KnowledgeAskT ask = makeRequest(m_knowledge.ask(now));
     ask.follows = true;
-    ask.want_upstreams = m_upstreams.listed();
+    ask.want_upstreams = m_upstreams.hasList();
     m_mesh.send(m_watcher, ask);
 }
 
@@ -250,7 +250,7 @@
 void PeerSync::catchUp(const std::string& from, const wire::KnowledgeReplyT& reply,
                        bool askedChanges) {
     const bool upstreams = reply.upstreams_revision > m_upstreams.table().revision();
-    if (upstreams && !askedChanges && m_upstreams.listed()) {
+    if (upstreams && !askedChanges && m_upstreams.hasList()) {
         fetch(from, true);
     } else if (upstreams && reply.upstreams_revision > m_copyRead.upstreams) {
         m_copyRead.upstreams = reply.upstreams_revision;
--- a/src/gateway/UpstreamList.cpp
+++ b/src/gateway/UpstreamList.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // In milliseconds. The end of a cold time is news if it moves by more than this.
-constexpr Millis kColdNews = 500;
+constexpr Millis kMinColdEndChange = 500;
 
 void LogChange(const Upstream& upstream, std::string_view source) {
     logEvent(Event::kUpstreamChanged, {{"upstream", upstream.id},
@@ -57,8 +57,8 @@
         take(upstream, changes.revision, source, now);
     }
     m_table.setRevision(changes.revision);
-    if (!m_listed) {
-        m_listed = true;
+    if (!m_hasList) {
+        m_hasList = true;
         logEvent(Event::kUpstreamsListed, {{"count", std::to_string(m_table.all().size())},
                                            {"revision", std::to_string(changes.revision)},
                                            {"source", std::string(source)}});
@@ -102,7 +102,7 @@
 
 // A cold upstream writes how long it stays cold again and again, which changes nothing: told on
 // each time, a zone that comes back would cost each box and each link four lists.
-bool UpstreamList::saysNew(const Upstream& upstream, MonoTime now) const {
+bool UpstreamList::isChange(const Upstream& upstream, MonoTime now) const {
     const Upstream* known = m_table.find(upstream.id);
     if (known == nullptr) {
         return true;
@@ -110,12 +110,12 @@
     Upstream apartFromCold = upstream;
     apartFromCold.coldLeft = known->coldLeft;
     const Millis change = upstream.coldLeft - coldLeft(upstream.id, now);
-    return apartFromCold != *known || std::abs(change) > kColdNews;
+    return apartFromCold != *known || std::abs(change) > kMinColdEndChange;
 }
 
 void UpstreamList::put(const Upstream& upstream, uint64_t revision, std::string_view source,
                        MonoTime now) {
-    if (!saysNew(upstream, now)) {
+    if (!isChange(upstream, now)) {
         return;
     }
     recordStart(upstream, source);
@@ -126,11 +126,11 @@
         LogCold(upstream, m_records.coldShare().takesPart(upstream.id, now), source);
     }
     // The first list is one line: a box of a large site would log for a second otherwise.
-    if (m_listed) {
+    if (m_hasList) {
         LogChange(upstream, source);
     }
     // What was there before this box looked counts as old.
-    const MonoTime since = m_listed ? now : MonoTime{};
+    const MonoTime since = m_hasList ? now : MonoTime{};
     m_table.put(upstream, since, revision);
 }
 
--- a/tests/UpstreamListTest.cpp
+++ b/tests/UpstreamListTest.cpp
@@ -34,9 +34,9 @@
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), HealthSettings());
     UpstreamList list(records);
-    CHECK_FALSE(list.listed());
+    CHECK_FALSE(list.hasList());
     list.apply(Whole(3, {"a", "b"}), "store", {100});
-    CHECK(list.listed());
+    CHECK(list.hasList());
     Eject(records, "a");
     Eject(records, "b");
     list.apply(Whole(4, {"b"}), "store", {200});
