--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -57,7 +57,7 @@
     size_t links() const { return m_links.size(); }
 
     // Addresses of the boxes to which links stand. Preconditions: none.
-    std::vector<std::string> linked() const;
+    std::vector<std::string> linkedAddresses() const;
 
     // Whether a link to `address` stands. Preconditions: none.
     bool isLinked(const std::string& address) const { return m_links.contains(address); }
@@ -68,7 +68,7 @@
 
     // Keeps a link to `address`, beside those that it keeps anyway; empty: to no other box.
     // Preconditions: none.
-    void keepLinked(std::string address) { m_wanted = std::move(address); }
+    void keepLinked(std::string address) { m_extraPeer = std::move(address); }
 
     // Whether the box at `address` is linked and knows CrashReports; those that do.
     // Preconditions: none.
@@ -89,29 +89,29 @@
     struct Peer {
         std::shared_ptr<FrameLink> link;
         MonoTime heard;
-        Millis digestPeriod = 0;   // As it announced it last; 0: not yet.
-        bool dialed = false;       // By this box.
-        bool sentList = false;     // It told which boxes it knows.
-        bool sentUnknown = false;  // A frame of a kind that this build does not know.
+        Millis digestPeriod = 0;            // As it announced it last; 0: not yet.
+        bool dialed = false;                // By this box.
+        bool receivedBoxList = false;       // It told which boxes it knows.
+        bool receivedUnknownFrame = false;  // A frame of a kind that this build does not know.
     };
 
-    Task<> greetAccepted(Tcp::socket socket);
+    Task<> acceptLink(Tcp::socket socket);
     Task<> dialPeers();
     void dialMissing();
     Task<> dial(std::string address);
     Task<> announceLoads();
     wire::HelloT hello() const;
-    void adopt(const std::shared_ptr<FrameLink>& link, bool dialed);
+    void addLink(const std::shared_ptr<FrameLink>& link, bool dialed);
     void onFrame(FrameLink& link, wire::BodyUnion& body);
     void onClosed(FrameLink& link);
-    void learn(Peer& peer, const wire::BoxListT& list);
-    void tellBoxes(const std::string& address, std::span<const KnownBox> boxes);
-    wire::BoxListT listOf(const std::vector<KnownBox>& boxes) const;
+    void applyBoxList(Peer& peer, const wire::BoxListT& list);
+    void sendBoxes(const std::string& address, std::span<const KnownBox> boxes);
+    wire::BoxListT makeBoxList(const std::vector<KnownBox>& boxes) const;
     void announceBoxes();
     void sendTo(const std::string& address, std::string frame);
-    void dropSilent();
-    void noteUnknown(Peer& peer, const wire::BodyUnion& body);
-    void countBuilds();
+    void closeSilentLinks();
+    void recordUnknownFrame(Peer& peer, const wire::BodyUnion& body);
+    void countLinksByBuild();
 
     asio::io_context& m_io;
     const GatewaySettings& m_settings;
@@ -124,7 +124,7 @@
     std::map<std::string, Peer> m_links;  // By the peer's address.
     std::optional<BoxDirectory> m_boxes;  // Once this box knows its own address.
     BoxNews m_news;                       // Which of them the linked boxes know.
-    std::string m_wanted;                 // A box to be linked to besides; empty: none.
+    std::string m_extraPeer;              // A box to be linked to besides; empty: none.
     std::set<std::string> m_dialing;
     LoadExchange m_exchange;
     size_t m_boxesKnown = 1;
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -42,7 +42,7 @@
     }
     const auto executor = m_io.get_executor();
     const auto greet = [this, executor](Tcp::socket socket) {
-        Spawn(executor, greetAccepted(std::move(socket)));
+        Spawn(executor, acceptLink(std::move(socket)));
     };
     Spawn(executor, AcceptAll(m_acceptor, greet));
     Spawn(executor, dialPeers());
@@ -62,19 +62,19 @@
     return hello;
 }
 
-Task<> PeerMesh::greetAccepted(Tcp::socket socket) {
+Task<> PeerMesh::acceptLink(Tcp::socket socket) {
     wire::HelloT greeting = hello();
     auto link = co_await FrameLink::Accept(std::move(socket), std::move(greeting));
     if (link.has_value()) {
-        adopt(link.value(), false);
+        addLink(link.value(), false);
     }
 }
 
 Task<> PeerMesh::dialPeers() {
     while (true) {
         const MonoTime now = ReadClocks().mono;
-        dropSilent();
-        countBuilds();
+        closeSilentLinks();
+        countLinksByBuild();
         announceBoxes();
         m_boxes->forget(now - BoxDirectory::kForgetAfter,
                         [this](const std::string& address) { return m_links.contains(address); });
@@ -86,8 +86,8 @@
 
 void PeerMesh::dialMissing() {
     std::vector<std::string> wanted = m_boxes->toDial(m_links.empty());
-    if (!m_wanted.empty()) {
-        wanted.push_back(m_wanted);
+    if (!m_extraPeer.empty()) {
+        wanted.push_back(m_extraPeer);
     }
     for (const std::string& address : wanted) {
         if (!m_links.contains(address) && m_dialing.insert(address).second) {
@@ -96,7 +96,7 @@
     }
 }
 
-std::vector<std::string> PeerMesh::linked() const {
+std::vector<std::string> PeerMesh::linkedAddresses() const {
     std::vector<std::string> addresses;
     addresses.reserve(m_links.size());
     for (const auto& [address, peer] : m_links) {
@@ -111,7 +111,7 @@
 }
 
 std::vector<std::string> PeerMesh::linkedTakingCrashReports() const {
-    std::vector<std::string> addresses = linked();
+    std::vector<std::string> addresses = linkedAddresses();
     std::erase_if(addresses, [this](const std::string& box) { return !takesCrashReports(box); });
     return addresses;
 }
@@ -123,7 +123,7 @@
         wire::HelloT greeting = hello();
         auto link = co_await FrameLink::Connect(peer, std::move(greeting));
         if (link.has_value()) {
-            adopt(link.value(), true);
+            addLink(link.value(), true);
         }
     }
     m_dialing.erase(address);
@@ -131,7 +131,7 @@
 
 // Of two boxes the one that dialed says first which boxes it knows; the other answers with those
 // that were missing.
-void PeerMesh::adopt(const std::shared_ptr<FrameLink>& link, bool dialed) {
+void PeerMesh::addLink(const std::shared_ptr<FrameLink>& link, bool dialed) {
     const std::string address = link->peer().address;
     if (address == m_address || link->peer().box == m_self) {
         link->close();
@@ -154,7 +154,7 @@
     link->start([this](FrameLink& from, wire::BodyUnion& body) { onFrame(from, body); },
                 [this](FrameLink& closed) { onClosed(closed); });
     if (dialed) {
-        tellBoxes(address, m_boxes->all());
+        sendBoxes(address, m_boxes->all());
     }
     m_sink.onLinked(address);
 }
@@ -169,7 +169,7 @@
     }
 }
 
-void PeerMesh::dropSilent() {
+void PeerMesh::closeSilentLinks() {
     const MonoTime now = ReadClocks().mono;
     std::vector<std::shared_ptr<FrameLink>> silent;
     for (const auto& [address, peer] : m_links) {
@@ -182,7 +182,7 @@
     }
 }
 
-wire::BoxListT PeerMesh::listOf(const std::vector<KnownBox>& boxes) const {
+wire::BoxListT PeerMesh::makeBoxList(const std::vector<KnownBox>& boxes) const {
     constexpr Millis kMaxSeconds = 65535;  // That a frame can carry.
     const MonoTime now = ReadClocks().mono;
     wire::BoxListT list;
@@ -202,15 +202,15 @@
     if (newcomers.empty()) {
         return;
     }
-    for (const std::string& address : linked()) {
-        tellBoxes(address, newcomers);
+    for (const std::string& address : linkedAddresses()) {
+        sendBoxes(address, newcomers);
     }
 }
 
-void PeerMesh::tellBoxes(const std::string& address, std::span<const KnownBox> boxes) {
+void PeerMesh::sendBoxes(const std::string& address, std::span<const KnownBox> boxes) {
     const std::vector<KnownBox> unknown = m_news.unknownTo(address, boxes);
     if (!unknown.empty()) {
-        sendTo(address, EncodeMessage(listOf(unknown)));
+        sendTo(address, EncodeMessage(makeBoxList(unknown)));
     }
 }
 
@@ -231,7 +231,7 @@
     }
 }
 
-void PeerMesh::learn(Peer& peer, const wire::BoxListT& list) {
+void PeerMesh::applyBoxList(Peer& peer, const wire::BoxListT& list) {
     const MonoTime now = ReadClocks().mono;
     const std::string address = peer.link->peer().address;
     for (const auto& entry : list.boxes) {
@@ -242,8 +242,8 @@
         }
     }
     // Last: a link that takes no more is closed while it is sent to, and `peer` is gone then.
-    if (!std::exchange(peer.sentList, true) && !peer.dialed) {
-        tellBoxes(address, m_boxes->all());
+    if (!std::exchange(peer.receivedBoxList, true) && !peer.dialed) {
+        sendBoxes(address, m_boxes->all());
     }
 }
 
@@ -257,7 +257,7 @@
     it->second.heard = now;
     m_boxes->heard({address, link.peer().zone}, now);
     if (!IsKnownMessage(body)) {
-        noteUnknown(it->second, body);
+        recordUnknownFrame(it->second, body);
         return;
     }
     m_exchange.take(address, body, now);
@@ -265,7 +265,7 @@
         it->second.digestPeriod = static_cast<Millis>(digest->next_ms);
         LoadExchange::TakeSightings(*m_boxes, *digest, now);
     } else if (const auto* list = body.AsBoxList()) {
-        learn(it->second, *list);
+        applyBoxList(it->second, *list);
     } else if (const auto* ask = body.AsKnowledgeAsk()) {
         m_sink.onKnowledgeRequest(address, *ask);
     } else if (const auto* reply = body.AsKnowledgeReply()) {
@@ -275,16 +275,16 @@
     }
 }
 
-void PeerMesh::noteUnknown(Peer& peer, const wire::BodyUnion& body) {
+void PeerMesh::recordUnknownFrame(Peer& peer, const wire::BodyUnion& body) {
     m_metrics.count("onyx_peer_frames_unknown_total");
-    if (!std::exchange(peer.sentUnknown, true)) {
+    if (!std::exchange(peer.receivedUnknownFrame, true)) {
         logEvent(Event::kFrameUnknown, {{"peer", peer.link->peer().box},
                                         {"kind", std::to_string(static_cast<int>(body.type))}});
     }
 }
 
 // Shows how far a rolling upgrade is. A build that no link has any more stays, with 0.
-void PeerMesh::countBuilds() {
+void PeerMesh::countLinksByBuild() {
     for (auto& [build, links] : m_builds) {
         links = 0;
     }
@@ -299,7 +299,7 @@
 Task<> PeerMesh::announceLoads() {
     while (true) {
         for (const OutgoingFrame& outgoing :
-             m_exchange.due(*m_boxes, linked(), ReadClocks().mono)) {
+             m_exchange.due(*m_boxes, linkedAddresses(), ReadClocks().mono)) {
             sendEncoded(outgoing);
         }
         m_metrics.set("onyx_peer_links", {}, static_cast<double>(m_links.size()));
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -47,7 +47,7 @@
 
 void PeerSync::step(MonoTime now) {
     const std::vector<std::string> zone = m_mesh.zoneOrder();
-    const std::vector<std::string> linked = m_mesh.linked();
+    const std::vector<std::string> linked = m_mesh.linkedAddresses();
     KnowledgeSurroundings around{zone, m_mesh.address(), linked};
     around.boxes = m_mesh.boxesKnown();
     around.isSeed = isSeed();
@@ -138,7 +138,7 @@
 
 void PeerSync::requestFromPeers(MonoTime now) {
     const wire::KnowledgeAskT ask = makeRequest(m_knowledge.ask(now));
-    for (const std::string& address : m_knowledge.nextAsked(m_mesh.linked())) {
+    for (const std::string& address : m_knowledge.nextAsked(m_mesh.linkedAddresses())) {
         m_mesh.send(address, ask);
     }
 }
