--- a/include/gateway/ConfigurationState.h
+++ b/include/gateway/ConfigurationState.h
@@ -19,7 +19,7 @@
 public:
     // Puts a configuration in force if it is newer than the one that is. Logs what became of it.
     // Preconditions: none.
-    void take(const StoredConfiguration& configuration);
+    void apply(const StoredConfiguration& configuration);
 
     // A configuration came that cannot be read; the one in force stays. Preconditions: none.
     void reject(const Error& error);
--- a/src/gateway/ConfigurationState.cpp
+++ b/src/gateway/ConfigurationState.cpp
@@ -4,7 +4,7 @@
 
 namespace onyx {
 
-void ConfigurationState::take(const StoredConfiguration& configuration) {
+void ConfigurationState::apply(const StoredConfiguration& configuration) {
     const uint64_t offered = configuration.parts.version;
     if (m_catalog && offered <= m_catalog->version()) {
         if (offered < m_catalog->version()) {
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -226,7 +226,7 @@
         const auto read = m_dialect.readConfiguration(update.configuration);
         logEvent(Event::kConfigFromPeer, {{"revision", std::to_string(update.version)}});
         if (read.has_value()) {
-            m_configuration.take(read.value());
+            m_configuration.apply(read.value());
         } else {
             m_configuration.reject(read.error());
         }
--- a/src/gateway/StoreController.cpp
+++ b/src/gateway/StoreController.cpp
@@ -146,7 +146,7 @@
     for (const StoredObject& object : update.objects) {
         if (const auto* configuration = std::get_if<StoredConfiguration>(&object.content)) {
             if (!isOlderCopy(update, *configuration)) {
-                m_configurationState.take(*configuration);
+                m_configurationState.apply(*configuration);
             }
         } else if (const auto* error = std::get_if<Error>(&object.content)) {
             m_configurationState.reject(*error);
--- a/tests/ConfigurationStateTest.cpp
+++ b/tests/ConfigurationStateTest.cpp
@@ -18,11 +18,11 @@
 TEST_CASE("Versions of the configuration only rise") {
     ConfigurationState state;
     CHECK(state.version() == 0);
-    state.take(Version(4));
-    state.take(Version(3));
+    state.apply(Version(4));
+    state.apply(Version(3));
     CHECK(state.version() == 4);
     CHECK(state.text() == "text of 4");
-    state.take(Version(5));
+    state.apply(Version(5));
     CHECK(state.version() == 5);
     CHECK(state.text() == "text of 5");
 }
@@ -30,10 +30,10 @@
 TEST_CASE(
     "A configuration that cannot be used leaves the one in force, and says nothing of its age") {
     ConfigurationState state;
-    state.take(Version(4));
+    state.apply(Version(4));
     StoredConfiguration broken = Version(5);
     broken.parts.routes.push_back(Route{});  // Without a service.
-    state.take(broken);
+    state.apply(broken);
     state.reject(Error{ErrorCode::kBadInput, "configuration", "", "not JSON"});
     CHECK(state.version() == 4);
     CHECK_FALSE(state.age({100}).has_value());
