--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -1,9 +1,11 @@
-// What the boxes of a site tell each other of what the store has: how old it is, what changed since
-// a revision, and on request all of it; evacuations with every answer. Carries out what
-// KnowledgeSpread decides: whom this box asks, and whether it calls the store itself.
+// Synchronizes the store's contents between the boxes of a site. A reply carries the age of the
+// sender's data and all evacuations, and on request the changes since a revision or the whole
+// contents. Carries out the decisions of KnowledgeSpread: which boxes this box sends requests to,
+// and whether it calls the store itself.
 //
-// Owns the questions under way. Relies on PeerMesh for the messages, on KnowledgeSpread and
-// PeerKnowledge for the rules. What it learns goes to the configuration and the upstreams.
+// Owns the pending requests. Relies on PeerMesh for the messages and on KnowledgeSpread and
+// PeerKnowledge for the rules. Applies replies to the configuration, the upstream list and the
+// evacuation list.
 #pragma once
 
 #include "include/dialect/Dialect.h"
@@ -17,17 +19,19 @@
 
 namespace onyx {
 
-// What another box has, and as of when this box has it through that.
+// The configuration and upstreams in the reply of another box, and the times as of which they are
+// current on this box.
 struct PeerUpdate {
-    std::string configuration;  // As text; empty: none came, or it is no newer than here.
-    uint64_t version = 0;       // Of the configuration that it has.
+    // The text of the configuration. Empty if the reply has none or it is no newer than this box's.
+    std::string configuration;
+    uint64_t version = 0;  // Version of the other box's configuration.
     MonoTime configurationAsOf;
-    std::optional<UpstreamChanges> upstreams;  // Nothing: none came.
+    std::optional<UpstreamChanges> upstreams;  // Empty if the reply has none.
     uint64_t upstreamsRevision = 0;
-    std::optional<MonoTime> upstreamsAsOf;  // Nothing: the box knows no upstreams.
+    std::optional<MonoTime> upstreamsAsOf;  // Empty if the other box has no upstream list.
 };
 
-// What boxes tell each other of.
+// The state that boxes synchronize with each other.
 struct SyncedState {
     ConfigurationState& configuration;
     UpstreamList& upstreams;
@@ -37,38 +41,40 @@
 // Not thread safe: one io_context.
 class PeerSync {
 public:
-    // Preconditions: all arguments outlive it.
+    // Preconditions: all arguments, and the members of `known`, outlive this object.
     PeerSync(const GatewaySettings& settings, const Dialect& dialect, const SyncedState& known,
              StoreController& store, PeerMesh& mesh);
 
-    // Asks others, for as long as the process lives. Preconditions: called once; mesh and store
-    // were started.
+    // Sends requests to other boxes until the process ends. Preconditions: called once; mesh and
+    // store were started.
     Task<> run();
 
-    // Answers a box. Preconditions: none.
+    // Replies to the request of the box at `from`. Preconditions: none.
     void onKnowledgeRequest(const std::string& from, const wire::KnowledgeAskT& ask);
 
-    // Takes in a box's answer. Preconditions: none.
+    // Processes the reply of the box at `from`. Preconditions: none.
     void onKnowledgeReply(const std::string& from, const wire::KnowledgeReplyT& reply);
 
-    // A link to a box stands. Preconditions: none.
+    // Called when a link to the box at `address` is established. Preconditions: none.
     void onLinked(const std::string& address);
 
-    // Whether others follow this box, or are about to: what it knows is to be young.
+    // Whether other boxes follow this box or are about to, so that its data must be recent.
     // Preconditions: none.
     bool watchesForOthers() const;
 
-    // Whether this box relies on others in ordinary times. Preconditions: none.
+    // Whether this box normally relies on other boxes. Preconditions: none.
     bool hasOthers() const { return m_spread.hasOthers(); }
 
     // Whether this box may call the store now for objects of this kind. Preconditions: none.
     bool mayCallStore(ObjectKind kind);
 
-    // Whether this box relies on others in place of calling the store. Preconditions: none.
+    // Whether this box currently relies on other boxes instead of calling the store.
+    // Preconditions: none.
     bool following() const { return !m_duty.calls; }
 
 private:
-    // Up to which version and revision a copy of the store was read because another box had them.
+    // The highest version and revision for which a copy of the store was read because another box
+    // had them.
     struct CopyRead {
         uint64_t configuration = 0;
         uint64_t upstreams = 0;
@@ -98,11 +104,10 @@
     PeerMesh& m_mesh;
     PeerKnowledge m_knowledge;
     KnowledgeSpread m_spread;
-    StoreDutyDecision m_duty;  // Of the last step.
-    std::string m_watcher;     // The box that is asked in place of the store; empty: none.
+    StoreDutyDecision m_duty;  // The decision of the last step.
+    std::string m_watcher;     // Address of the box that replaces the store; empty if none.
     CopyRead m_copyRead;
-    int m_repliesWithoutEvacuations =
-        0;  // Of the watcher in a row, that told nothing of evacuations.
+    int m_repliesWithoutEvacuations = 0;  // Consecutive ones from the watcher.
 };
 
 }  // namespace onyx
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// In milliseconds. How often it is looked at whom to ask and whether to call the store: small
-// beside the shortest of the times that are decided about.
+// In milliseconds. Period at which this box decides which boxes to send requests to and whether to
+// call the store. Short compared with the shortest of the times that these decisions depend on.
 constexpr Millis kStepPeriod = 100;
-// A watcher that tells nothing of evacuations in so many answers is of an earlier build; one that
-// has just started does not know of them yet.
+// A watcher that has sent this many consecutive replies without evacuations runs an earlier build.
+// Fewer are not enough: a watcher that has just started has no evacuation list yet.
 constexpr int kMaxRepliesWithoutEvacuations = 4;
 
 KnowledgeSpreadSettings SpreadSettings(const GatewaySettings& settings) {
@@ -71,7 +71,7 @@
     return m_upstreams.hasList() && empty;
 }
 
-// A box without seeds has nobody to ask when it starts.
+// A box without seeds has no box to send requests to when it starts, so it counts as a seed.
 bool PeerSync::isSeed() const {
     const auto isSelf = [this](const Endpoint& seed) {
         return EndpointText(seed) == m_mesh.address();
@@ -106,7 +106,8 @@
     return m_spread.watchesForOthers(ReadClocks().mono);
 }
 
-// A box that has just started knows nothing yet, and the first box that it meets may know all.
+// A box that has just started has no data yet, and the first box that it links to may have all of
+// it.
 void PeerSync::onLinked(const std::string& address) {
     const MonoTime now = ReadClocks().mono;
     if (!ages(now).older()) {
@@ -118,8 +119,9 @@
     return {m_configuration.age(now), m_upstreams.age(now)};
 }
 
-// Changes of upstreams are asked of one box at a time, the watcher or one that has newer ones:
-// eight boxes that are asked for their ages would all send the same.
+// Does not ask for upstream changes. They are requested from one box at a time, either the watcher
+// or a box with a newer revision, because the eight boxes that are asked for their ages would all
+// send the same changes.
 wire::KnowledgeAskT PeerSync::makeRequest(uint64_t round) const {
     wire::KnowledgeAskT ask;
     ask.round = round;
@@ -180,7 +182,8 @@
     reply.evacuated.assign(orders.zones().begin(), orders.zones().end());
 }
 
-// A watcher of an earlier build leaves it to this box to ask the store.
+// If the watcher runs an earlier build that does not send evacuations, this box reads them from the
+// store.
 void PeerSync::applyEvacuations(const std::string& from, const wire::KnowledgeReplyT& reply) {
     if (from == m_watcher && m_settings.evacuationBound > 0) {
         const bool tellsNone = !reply.tells_evacuations && reply.watches;
@@ -220,7 +223,8 @@
     }
 }
 
-// How old another box's configuration is counts only for a box that has the same one, or a newer.
+// The age of another box's configuration is valid here only if this box has the same version or a
+// newer one.
 void PeerSync::apply(const PeerUpdate& update) {
     if (!update.configuration.empty()) {
         const auto read = m_dialect.readConfiguration(update.configuration);
@@ -234,7 +238,7 @@
     if (m_configuration.catalog() && m_configuration.version() >= update.version) {
         m_configuration.confirm(update.configurationAsOf);
     }
-    // A box that knows less than this one changes nothing.
+    // Changes from a box with an older revision than this box's are ignored.
     const UpstreamTable& table = m_upstreams.table();
     if (update.upstreams && update.upstreams->revision >= table.revision()) {
         m_upstreams.apply(*update.upstreams, "peer", ReadClocks().mono);
@@ -244,9 +248,10 @@
     }
 }
 
-// Another box has something newer that did not come with its answer. Changes of upstreams are
-// fetched from it. A whole list, or a configuration, is read from a copy of the store, which is
-// near and spares the other box's line; what the copy does not have yet comes from the box.
+// Gets newer data that the other box has but did not include in its reply. Upstream changes are
+// fetched from that box. A whole upstream list or a configuration is read from a copy of the store,
+// which is near and saves the other box's bandwidth. If the copy does not have the data yet, it is
+// fetched from the box.
 void PeerSync::catchUp(const std::string& from, const wire::KnowledgeReplyT& reply,
                        bool askedChanges) {
     const bool upstreams = reply.upstreams_revision > m_upstreams.table().revision();
@@ -269,7 +274,8 @@
     }
 }
 
-// `changesOnly`: of upstreams, and no whole list.
+// `changesOnly`: the reply is to contain upstream changes only, neither the text of the
+// configuration nor a whole upstream list.
 void PeerSync::fetch(const std::string& from, bool changesOnly) {
     const auto round = m_knowledge.startFetch(ReadClocks().mono);
     if (!round) {
