--- a/include/gateway/StoreController.h
+++ b/include/gateway/StoreController.h
@@ -1,6 +1,7 @@
-// Follows the store: owns the two watches and whether the store answers this box, and brings what
-// they bring to the configuration and to the upstreams. When it calls the store is decided by
-// StorePacing; while this box follows another one, the watches are paused.
+// Follows the store. Owns a watch for each kind of objects (the configuration, the upstreams and,
+// if enabled, the evacuations), logs whether the store is reachable, and applies the updates to the
+// configuration, the upstream list and the evacuation list. StorePacing decides when the store is
+// called. The watches are paused while this box follows another one.
 #pragma once
 
 #include "include/dialect/Dialect.h"
@@ -23,7 +24,7 @@
     // Whether the store may be called now for objects of this kind.
     using MayCall = std::function<bool(ObjectKind)>;
 
-    // `facts`: what the pace depends on, asked anew each time.
+    // `facts`: returns the inputs of the store pacing; called each time they are needed.
     // Preconditions: all arguments but `facts` outlive the controller.
     StoreController(asio::any_io_executor executor, const GatewaySettings& settings,
                     const Dialect& dialect, ConfigurationState& configuration,
@@ -33,11 +34,12 @@
     // Begins to follow the store. Preconditions: called once.
     void start();
 
-    // Calls may be allowed from now on that were not. Preconditions: start() was called.
+    // Makes the watches check again whether they may call the store. Called when calls may have
+    // become allowed. Preconditions: start() was called.
     void wake();
 
-    // Reads a copy of the store once: another box knows something newer of this kind.
-    // Preconditions: as above.
+    // Reads a copy of the store once, because another box has newer objects of this kind.
+    // Preconditions: start() was called, and objects of this kind are watched.
     void readCopySoon(ObjectKind kind) { watchOf(kind).readCopySoon(); }
 
 private:
--- a/src/gateway/StoreController.cpp
+++ b/src/gateway/StoreController.cpp
@@ -76,7 +76,7 @@
     return std::make_unique<StoreWatch>(m_executor, m_dialect, watch, std::move(sink));
 }
 
-// The revision up to which other boxes may have told the objects.
+// The revision up to which this box has the objects, which may have come from other boxes.
 uint64_t StoreController::knownRevision(ObjectKind kind) const {
     switch (kind) {
         case ObjectKind::kConfiguration:
@@ -99,8 +99,8 @@
     return HeldWait(pacing, m_pacingFacts(), wait);
 }
 
-// A change of the configuration is to be in force at once, as is an evacuation; those of upstreams
-// come together.
+// A configuration change or an evacuation must take effect at once, so there is no pause after it.
+// Changes of upstreams are batched.
 Millis StoreController::pauseAfterChanges(ObjectKind kind) const {
     return kind == ObjectKind::kUpstreams ? PauseAfterChanges(m_settings.pacing, m_pacingFacts())
                                           : 0;
@@ -112,7 +112,7 @@
     }
 }
 
-// One line a call: calls are priced, and few.
+// Logs one line for each call, since each call is billed and there are few.
 void StoreController::onCall(ObjectKind kind, const StoreCall& call) {
     const std::string cause(StoreCallCauseName(call.cause));
     m_metrics.count("onyx_store_calls_total", {{"objects", ObjectsName(kind)}, {"cause", cause}});
@@ -157,7 +157,7 @@
     }
 }
 
-// Whether a copy of the store has not got as far as this box has.
+// Whether the update comes from a copy of the store and its configuration is older than this box's.
 bool StoreController::isOlderCopy(const StoreUpdate& update,
                                   const StoredConfiguration& configuration) const {
     return !update.asOf && m_configurationState.catalog() &&
@@ -165,8 +165,9 @@
 }
 
 void StoreController::applyUpstreams(const StoreUpdate& update) {
-    // What another box had may be ahead of an answer that was on its way, and of any copy. A list
-    // of the store itself counts also where it is behind: the store was restored.
+    // Upstreams that came from another box may be newer than an answer that was in flight and newer
+    // than any copy. A whole list from the store itself applies even if its revision is lower,
+    // because that means that the store was restored.
     const bool authoritative = update.whole && update.asOf;
     if (authoritative || update.revision >= m_upstreamList.table().revision()) {
         m_upstreamList.apply(makeUpstreamChanges(update), "store", ReadClocks().mono);
@@ -176,12 +177,12 @@
     }
 }
 
-// What cannot be read names no zone; the orders that stand hold.
+// An object that cannot be read names no zone, so it leaves the current evacuations unchanged.
 void StoreController::applyEvacuations(const StoreUpdate& update) {
     EvacuationChanges changes;
     changes.whole = update.whole;
     changes.revision = update.revision;
-    std::map<std::string, bool> stands;  // The last word on a zone counts.
+    std::map<std::string, bool> stands;  // The last object for a zone counts.
     for (const StoredObject& object : update.objects) {
         if (const auto* error = std::get_if<Error>(&object.content)) {
             recordUnreadable("evacuation " + object.name, error->text());
@@ -204,8 +205,9 @@
     logEvent(Event::kObjectBad, {{"object", object}, {"why", why}});
 }
 
-// Where upstreams say when they started, all do: an entry that does not is of another writer, and
-// one that names no upstream must not take the place of one that did.
+// If any upstream reports its start time, all do. An entry without one then comes from another
+// writer. It is rejected, since an entry that does not identify an incarnation must not replace one
+// that does.
 UpstreamChanges StoreController::makeUpstreamChanges(const StoreUpdate& update) const {
     UpstreamChanges changes;
     changes.whole = update.whole;
@@ -213,7 +215,8 @@
     std::set<std::string_view> seen;
     const bool reportsStartTimes =
         AnyReportsStartTime(update) || m_upstreamList.reportsStartTimes();
-    // The last word on an object counts: an upstream may drain and be removed within one answer.
+    // The last entry for an object counts, because an upstream may drain and be removed within one
+    // answer.
     for (auto it = update.objects.rbegin(); it != update.objects.rend(); ++it) {
         const StoredObject& object = *it;
         if (!seen.insert(object.name).second) {
@@ -226,7 +229,8 @@
             changes.removed.push_back(object.name);
         } else if (const auto* upstream = std::get_if<Upstream>(&object.content)) {
             if (reportsStartTimes && upstream->startedMs == 0) {
-                recordUnreadable(object.name, "it says no start, and others do");
+                recordUnreadable(object.name,
+                                 "the entry has no start time although other entries have one");
                 changes.removed.push_back(object.name);
             } else {
                 changes.changed.push_back(*upstream);
