--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -1,9 +1,9 @@
-// Owns what this box has seen of upstreams, or heard from other boxes: their health, their loads,
-// what their caches hold, and the connections kept to them. Which upstreams there are:
-// UpstreamList.
+// Owns the data that this box has measured about upstreams or received from other boxes: their
+// health, their loads, the contents of their caches, and the idle connections to them. UpstreamList
+// owns the list of the upstreams itself.
 //
-// Relies on the rules of health and placement. Attempts bring what they saw, PeerMesh what other
-// boxes announce.
+// Relies on the rules in health/ and placement/. Attempts record their observations here, and
+// PeerMesh the announcements of other boxes.
 #pragma once
 
 #include "include/gateway/UpstreamPool.h"
@@ -27,11 +27,11 @@
 
 namespace onyx {
 
-// How loaded an upstream is, and by what.
+// The load of an upstream, by source, in requests.
 struct UpstreamLoad {
-    int counted = 0;  // Requests of this box and of those that announce theirs here.
-    int exact = 0;    // All boxes' requests, where all announce theirs here.
-    std::optional<AgedReport> report;  // What the upstream told last.
+    int counted = 0;  // Requests of this box and of the boxes that announce theirs to it.
+    int exact = 0;    // Requests of all boxes, valid if all announce theirs to this box.
+    std::optional<AgedReport> report;  // The upstream's last load report.
 };
 
 // Not thread safe: one io_context.
@@ -40,105 +40,115 @@
     UpstreamRecords(asio::any_io_executor executor, const HealthSettings& health)
         : m_health(health), m_pool(std::move(executor)) {}
 
-    // Whether an upstream is ejected. Preconditions: times do not fall.
+    // Whether an upstream is ejected. Preconditions: `now` never decreases between calls.
     bool isEjected(const std::string& id, MonoTime now) const {
         return m_health.isEjected(id, now);
     }
 
-    // What this box knows of the requests at an upstream. Preconditions: as above.
+    // The load of an upstream. Preconditions: `now` never decreases between calls.
     UpstreamLoad load(const std::string& id, MonoTime now) const;
 
-    // This box's requests at an upstream. Preconditions: none.
+    // The number of this box's requests at an upstream. Preconditions: none.
     int ownLoad(const std::string& id) const { return m_loads.own(id); }
 
-    // How old the newest report of an upstream's load is, in milliseconds; nothing if none came.
-    // Preconditions: as above.
+    // The age of the newest load report of an upstream in milliseconds, or nothing if there is
+    // none. Preconditions: `now` never decreases between calls.
     std::optional<Millis> reportAge(const std::string& id, MonoTime now) const {
         return m_loads.reportAge(id, now);
     }
 
-    // Whether the other boxes' loads are known of some of them only. Preconditions: none.
+    // Whether only some of the other boxes announce their loads to this box. Preconditions: none.
     bool loadsAreSampled() const { return m_peerCounts.isSample(); }
 
-    // The part of all boxes whose loads are counted, this one included. Preconditions: none.
+    // The fraction of all boxes whose loads are counted, including this one. Preconditions: none.
     double countedShare() const { return m_peerCounts.countedShare(); }
 
-    // Other boxes whose loads count now. Preconditions: none.
+    // The number of other boxes whose loads are currently counted. Preconditions: none.
     size_t peersWithLoads() const { return m_peerCounts.boxes(); }
 
-    // Who holds which parts of prompts. Preconditions: none.
+    // Which upstreams hold which parts of prompts in their caches. Preconditions: none.
     const CacheDirectory& caches() const { return m_caches; }
 
-    // Counts an attempt in; `onRestart` is called if the upstream starts again while it runs. It
-    // may count the attempt out. Preconditions: each that began is counted out once.
+    // Counts an attempt at `upstream` and returns its number. `onRestart` is called if the upstream
+    // restarts while the attempt runs, and may call endAttempt(). Preconditions: endAttempt() is
+    // called once for each attempt.
     uint64_t beginAttempt(const Incarnation& upstream, std::function<void()> onRestart);
-    // Counts an attempt out, by what beginAttempt() returned.
+    // Ends the attempt with the number that beginAttempt() returned.
     void endAttempt(uint64_t attempt);
 
-    // The upstream is listed with this start. A later one than before ends all that is known of it
-    // and the attempts under way there, and returns the start before. Preconditions: none.
+    // Records the start time with which the upstream is listed. If it is later than the recorded
+    // one, discards all records of the previous incarnation, calls `onRestart` of its active
+    // attempts and returns the previous start time (Unix time in milliseconds); otherwise returns
+    // nothing. Preconditions: none.
     std::optional<int64_t> recordStart(const Incarnation& upstream);
-    // Whether a later start of it is known: what is said of this one is void. Preconditions: none.
+    // Whether a later incarnation of the upstream is known, so that data about this one is no
+    // longer valid. Preconditions: none.
     bool isSuperseded(const Incarnation& upstream) const;
-    // The start that is known of an upstream; 0: none. Preconditions: none.
+    // The latest known start time of an upstream (Unix time in milliseconds), or 0 if none is
+    // known. Preconditions: none.
     int64_t latestStartOf(const std::string& id) const;
-    // Whether what another box says of an upstream, by its number, is of the incarnation that is
-    // known here. `tag`: its StartTag; 0, of a box that does not say: believed unless the upstream
-    // was seen to start again. Preconditions: none.
+    // Whether another box's data about the upstream `number` is about the incarnation that this box
+    // knows. `tag`: the StartTag that the other box sent. It is 0 if that box sends none; its data
+    // then counts unless this box has seen the upstream restart. Preconditions: none.
     bool isCurrent(uint32_t number, uint8_t tag) const;
-    // The tag that this box sends with a number. Preconditions: none.
+    // The StartTag that this box sends with the upstream number, or 0 if no start is known.
+    // Preconditions: none.
     uint8_t startTagOf(uint32_t number) const;
 
-    // Takes in what an attempt that began at `sent` saw of its upstream; true if that is ejected
-    // from now on. Preconditions: sent <= now, which does not fall.
+    // Records the sign that an attempt begun at `sent` observed at its upstream. Returns true if
+    // the upstream is ejected because of it. Preconditions: sent <= now; `now` never decreases
+    // between calls.
     bool recordSign(const std::string& id, UpstreamSign sign, MonoTime sent, MonoTime now);
 
-    // What upstreams ask for in their answers. Preconditions: none.
+    // The upstreams that asked in their answers to get no requests. Preconditions: none.
     UpstreamAvoidance& avoidance() { return m_avoidance; }
     const UpstreamAvoidance& avoidance() const { return m_avoidance; }
 
-    // Which upstreams are cold, and whether this box sends to them. Preconditions: none.
+    // Which upstreams are cold, and whether this box sends requests to them. Preconditions: none.
     ColdUpstreams& cold() { return m_cold; }
     const ColdUpstreams& cold() const { return m_cold; }
     ColdShare& coldShare() { return m_coldShare; }
     const ColdShare& coldShare() const { return m_coldShare; }
 
-    // An upstream began to answer a prompt with these shared parts, so it has read them.
-    // Preconditions: times do not fall.
+    // Records that an upstream began to answer a prompt with these shared parts, so its cache holds
+    // them. Preconditions: `now` never decreases between calls.
     void recordPrompt(std::span<const std::string> sharedParts, const std::string& id,
                       MonoTime now);
 
-    // The share of this box's recent requests that asked for this prompt, 0 if it has no shared
-    // part. Preconditions: none.
+    // The share of this box's recent requests that had this prompt, or 0 if the prompt has no
+    // shared part. Preconditions: none.
     double promptShare(std::span<const std::string> sharedParts, MonoTime now) const;
 
-    // An upstream's answer reports how many requests it has. Preconditions: as above.
+    // Records the number of requests that an upstream reported in an answer. Preconditions: `now`
+    // never decreases between calls.
     void noteReportedLoad(const std::string& id, int load, MonoTime now) {
         m_loads.noteReportedLoad(id, load, now);
     }
 
-    // Forgets an upstream that is gone. Preconditions: none.
+    // Discards the connections, the health and the loads of a removed upstream. Its latest start is
+    // kept. Preconditions: none.
     void forget(const std::string& id);
-    // Closes the connections kept to an upstream that drains. Preconditions: none.
+    // Closes the idle connections to a draining upstream. Preconditions: none.
     void dropConnections(const std::string& id) { m_pool.drop(id); }
 
-    // Connections kept between attempts. Preconditions: none.
+    // The connections kept open between attempts. Preconditions: none.
     UpstreamPool& pool() { return m_pool; }
 
-    // What this box has in flight, and what it has learned of caches since the last call, to be
-    // announced to other boxes. Preconditions: none.
+    // The requests that this box has in flight, and the cache contents that it has learned since
+    // the last call, to be announced to other boxes. Preconditions: none.
     PeerCounts::Counts ownLoads() const { return m_loads.counts(); }
     bool hasAnnouncements() const { return m_caches.hasAnnouncements(); }
     std::vector<CacheHolding> takeAnnouncements() { return m_caches.takeAnnouncements(); }
 
-    // What another box announces; its loads count for `believed` milliseconds.
-    // Preconditions: believed > 0; times do not fall.
+    // Records the loads that another box announces. They count for `believed` milliseconds.
+    // Preconditions: believed > 0; `now` never decreases between calls.
     void recordPeerLoads(const std::string& box, PeerCounts::Counts counts, MonoTime now,
                          Millis believed) {
         m_peerCounts.take(box, std::move(counts), now, believed);
     }
-    // Loads that upstreams reported, as other boxes pass them on, and what is to be passed on to
-    // them. Preconditions: times do not fall.
+    // Records load reports of upstreams that other boxes forward, and returns at most `most` of
+    // those that are due to be forwarded to them. Preconditions: `now` never decreases between
+    // calls.
     void notePassedReport(const LoadReport& report, MonoTime now) {
         m_loads.notePassedReport(report, now);
     }
@@ -147,22 +157,23 @@
         return m_loads.takeDueReports(most, now);
     }
     void recordHolding(const CacheHolding& holding, MonoTime now) { m_caches.learn(holding, now); }
-    // Forgets the loads of a box whose link is gone, and those that are no longer believed.
+    // Discards the loads of a box whose link is closed, and those that have expired.
     // Preconditions: none.
     void forgetPeer(const std::string& box) { m_peerCounts.forget(box); }
     void expirePeerLoads(MonoTime now) { m_peerCounts.expire(now); }
-    // How many boxes there are, and which part of the others announce their loads here.
-    // Preconditions: as PeerCounts.
+    // Sets the number of boxes in the site, and the fraction of the others that announce their
+    // loads to this box. Preconditions: as for PeerCounts::setSite().
     void setSite(size_t boxes, double share) { m_peerCounts.setSite(boxes, share); }
-    // The place of this box among all, in an order that they agree on. Preconditions: none.
+    // The index of this box among all boxes, in an order that is the same on all of them.
+    // Preconditions: none.
     void setBoxRank(size_t rank) { m_boxRank = rank; }
     size_t boxRank() const { return m_boxRank; }
 
 private:
-    // The latest start that is known of an upstream.
+    // The latest known start of an upstream.
     struct LatestStart {
         int64_t startedMs = 0;
-        bool restarted = false;  // It was seen to start again under its id.
+        bool restarted = false;  // This box has seen it restart under the same id.
     };
     struct ActiveAttempt {
         Incarnation upstream;
@@ -180,10 +191,10 @@
     CacheDirectory m_caches;
     PromptShares m_prompts;
     UpstreamPool m_pool;
-    std::unordered_map<uint32_t, LatestStart>
-        m_latestStarts;  // By upstream number; also of some that are gone.
-    std::map<uint64_t, ActiveAttempt> m_activeAttempts;  // Attempts, by number.
-    uint64_t m_lastAttempt = 0;
+    // By upstream number. Includes some removed upstreams.
+    std::unordered_map<uint32_t, LatestStart> m_latestStarts;
+    std::map<uint64_t, ActiveAttempt> m_activeAttempts;  // By attempt number.
+    uint64_t m_lastAttempt = 0;                          // Number of the last attempt.
     size_t m_boxRank = 0;
 };
 
--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Starts remembered, those of upstreams that are gone included; far above a site's. Beyond it all
-// are learned anew.
+// Maximum number of recorded starts, including those of removed upstreams. Far above the number of
+// upstreams of a site. When it is reached, all records are cleared and rebuilt.
 constexpr size_t kMaxRecordedStarts = 65536;
 
 }  // namespace
@@ -31,8 +31,8 @@
     return m_lastAttempt;
 }
 
-// Those of an earlier incarnation went with it: counted out here, they would be missing among the
-// requests of the next.
+// The count of an attempt at an earlier incarnation was discarded together with that incarnation.
+// Subtracting it here would make the request count of the new incarnation too low.
 void UpstreamRecords::endAttempt(uint64_t attempt) {
     const auto it = m_activeAttempts.find(attempt);
     if (it == m_activeAttempts.end()) {
@@ -84,8 +84,8 @@
     return before;
 }
 
-// What is known of the upstream is of the one before, and its requests have ended: an attempt that
-// waits for an answer learns it now and not at its deadline.
+// All records of the upstream are about the previous incarnation, and its requests have ended.
+// Attempts that wait for an answer from it are notified now and don't wait for their deadlines.
 void UpstreamRecords::endIncarnation(const Incarnation& upstream) {
     const uint32_t number = ShortHash(upstream.id);
     m_pool.drop(upstream.id);
@@ -126,8 +126,9 @@
     if (!m_health.note(id, sign, sent, now)) {
         return false;
     }
-    // Bytes sent on a kept connection may have arrived, those of a connection that does not open
-    // have not: the request that tries this upstream next can still go elsewhere.
+    // Closes the idle connections. A request sent on one of them may have reached the upstream,
+    // whereas a request whose connection fails to open has not, so the next request that tries this
+    // upstream can still be sent to another one.
     m_pool.drop(id);
     return true;
 }
