--- a/include/gateway/EvacuationList.h
+++ b/include/gateway/EvacuationList.h
@@ -17,8 +17,8 @@
     explicit EvacuationList(Metrics& metrics) : m_metrics(metrics) {}
 
     // Takes in orders and logs what changed. `source`: who has them ("store" or "peer").
-    // `takesBack`: see ZoneEvacuations. Preconditions: times do not fall.
-    void apply(const EvacuationChanges& changes, bool takesBack, std::string_view source,
+    // `allowLowerRevision`: see ZoneEvacuations. Preconditions: times do not fall.
+    void apply(const EvacuationChanges& changes, bool allowLowerRevision, std::string_view source,
                MonoTime now);
 
     // All orders of before `asOf` are known. Preconditions: as KnowledgeAge::confirm().
--- a/src/gateway/EvacuationList.cpp
+++ b/src/gateway/EvacuationList.cpp
@@ -4,19 +4,19 @@
 
 namespace onyx {
 
-void EvacuationList::apply(const EvacuationChanges& changes, bool takesBack,
+void EvacuationList::apply(const EvacuationChanges& changes, bool allowLowerRevision,
                            std::string_view source, MonoTime now) {
-    const EvacuationChanges news = m_orders.take(changes, takesBack, now);
+    const EvacuationChanges changed = m_orders.take(changes, allowLowerRevision, now);
     const auto log = [&](const std::string& zone, const char* state) {
         logEvent(Event::kZoneEvacuated, {{"zone", zone},
                                          {"state", state},
-                                         {"revision", std::to_string(news.revision)},
+                                         {"revision", std::to_string(changed.revision)},
                                          {"source", std::string(source)}});
     };
-    for (const std::string& zone : news.begun) {
+    for (const std::string& zone : changed.begun) {
         log(zone, "evacuated");
     }
-    for (const std::string& zone : news.ended) {
+    for (const std::string& zone : changed.ended) {
         log(zone, "taken-back");
     }
     m_metrics.set("onyx_evacuated_zones", {}, static_cast<double>(m_orders.zones().size()));
