--- a/include/gateway/EvacuationList.h
+++ b/include/gateway/EvacuationList.h
@@ -1,5 +1,5 @@
-// Owns which availability zones are evacuated, and how old that knowledge is. Relies on
-// ZoneEvacuations for the rule; the store and other boxes bring the orders.
+// Owns the list of evacuated availability zones and its age. Relies on ZoneEvacuations for the
+// rules. StoreController and PeerSync apply the evacuation orders of the store and of other boxes.
 #pragma once
 
 #include "include/freshness/KnowledgeAge.h"
@@ -16,18 +16,22 @@
     // Preconditions: the metrics outlive the list.
     explicit EvacuationList(Metrics& metrics) : m_metrics(metrics) {}
 
-    // Takes in orders and logs what changed. `source`: who has them ("store" or "peer").
-    // `allowLowerRevision`: see ZoneEvacuations. Preconditions: times do not fall.
+    // Applies evacuation orders and logs the zones that changed. `source`: the origin of the orders
+    // for the log ("store" or "peer"). `allowLowerRevision`: orders of a lower revision than the
+    // current one apply too, because the store was restored; otherwise they change nothing.
+    // Preconditions: `now` never decreases between calls.
     void apply(const EvacuationChanges& changes, bool allowLowerRevision, std::string_view source,
                MonoTime now);
 
-    // All orders of before `asOf` are known. Preconditions: as KnowledgeAge::confirm().
+    // Records that the list includes all orders made before `asOf`. Preconditions: as for
+    // KnowledgeAge::confirm().
     void confirm(MonoTime asOf) { m_age.confirm(asOf); }
 
-    // Its age in milliseconds, or nothing before the first confirmation. Preconditions: none.
+    // The age of the list in milliseconds, or nothing before the first confirmation.
+    // Preconditions: none.
     std::optional<Millis> age(MonoTime now) const { return m_age.age(now); }
 
-    // The orders. Preconditions: none.
+    // The current evacuation orders. Preconditions: none.
     const ZoneEvacuations& orders() const { return m_orders; }
 
 private:
