--- a/include/gateway/ConfigurationState.h
+++ b/include/gateway/ConfigurationState.h
@@ -1,7 +1,8 @@
-// Owns the configuration in force on this box and its age. Versions only rise, wherever a
-// configuration comes from; one that cannot be read changes nothing.
+// Owns the configuration in force on this box and its age. The version only increases, whether a
+// configuration comes from the store or from another box. A configuration that cannot be read
+// changes nothing.
 //
-// Relies on nothing of the gateway; the store's watch and other boxes bring what it takes.
+// Relies on no other part of the gateway. StoreController and PeerSync supply the configurations.
 #pragma once
 
 #include "include/freshness/KnowledgeAge.h"
@@ -17,24 +18,27 @@
 // Not thread safe: one io_context.
 class ConfigurationState {
 public:
-    // Puts a configuration in force if it is newer than the one that is. Logs what became of it.
+    // Puts a configuration in force if its version is higher than the current one and it is valid.
+    // Logs a new configuration, an older version and an invalid configuration.
     // Preconditions: none.
     void apply(const StoredConfiguration& configuration);
 
-    // A configuration came that cannot be read; the one in force stays. Preconditions: none.
+    // Logs that a configuration cannot be read. The current one stays in force.
+    // Preconditions: none.
     void reject(const Error& error);
 
-    // The configuration in force is the newest of before `asOf`. Preconditions: as
-    // KnowledgeAge::confirm().
+    // Records that the configuration in force is the newest one from before `asOf`. Preconditions:
+    // as for KnowledgeAge::confirm().
     void confirm(MonoTime asOf) { m_age.confirm(asOf); }
 
     // The configuration in force, or null before the first. Preconditions: none.
     const std::shared_ptr<const Catalog>& catalog() const { return m_catalog; }
-    // Its version, 0 before the first. Preconditions: none.
+    // The version of the configuration in force, 0 before the first. Preconditions: none.
     uint64_t version() const { return m_catalog ? m_catalog->version() : 0; }
-    // Its text, to be passed on to other boxes. Preconditions: none.
+    // The text of the configuration in force, to be sent to other boxes. Preconditions: none.
     const std::string& text() const { return m_text; }
-    // Its age in milliseconds, or nothing before the first confirmation. Preconditions: none.
+    // The age of the configuration in milliseconds, or nothing before the first confirmation.
+    // Preconditions: none.
     std::optional<Millis> age(MonoTime now) const { return m_age.age(now); }
 
 private:
