--- a/include/gateway/EvacuationList.h
+++ b/include/gateway/EvacuationList.h
@@ -17,10 +17,10 @@
     explicit EvacuationList(Metrics& metrics) : m_metrics(metrics) {}
 
     // Applies evacuation orders and logs the zones that changed. `source`: the origin of the orders
-    // for the log ("store" or "peer"). `allowLowerRevision`: orders of a lower revision than the
+    // for the log ("store" or "peer"). `acceptLowerRevision`: orders of a lower revision than the
     // current one apply too, because the store was restored; otherwise they change nothing.
     // Preconditions: `now` never decreases between calls.
-    void apply(const EvacuationChanges& changes, bool allowLowerRevision, std::string_view source,
+    void apply(const EvacuationChanges& changes, bool acceptLowerRevision, std::string_view source,
                MonoTime now);
 
     // Records that the list includes all orders made before `asOf`. Preconditions: as for
--- a/src/gateway/EvacuationList.cpp
+++ b/src/gateway/EvacuationList.cpp
@@ -4,9 +4,9 @@
 
 namespace onyx {
 
-void EvacuationList::apply(const EvacuationChanges& changes, bool allowLowerRevision,
+void EvacuationList::apply(const EvacuationChanges& changes, bool acceptLowerRevision,
                            std::string_view source, MonoTime now) {
-    const EvacuationChanges changed = m_orders.take(changes, allowLowerRevision, now);
+    const EvacuationChanges changed = m_orders.take(changes, acceptLowerRevision, now);
     const auto log = [&](const std::string& zone, const char* state) {
         logEvent(Event::kZoneEvacuated, {{"zone", zone},
                                          {"state", state},
