--- a/include/gateway/UpstreamList.h
+++ b/include/gateway/UpstreamList.h
@@ -1,8 +1,8 @@
-// Owns the list of upstreams and its age. What a change of the list means for what else is known of
-// an upstream is decided here alone.
+// Owns the list of upstreams and its age. Only this class decides how a change of the list affects
+// the other records of an upstream.
 //
-// Relies on UpstreamTable for the entries and on UpstreamRecords, which it tells of upstreams that
-// drain or are removed. The store's watch and other boxes bring the list; requests only read it.
+// Relies on UpstreamTable for the entries. Updates UpstreamRecords when an upstream starts, is
+// cold, drains or is removed. StoreController and PeerSync supply the list; requests only read it.
 #pragma once
 
 #include "include/freshness/KnowledgeAge.h"
@@ -21,22 +21,25 @@
     // Preconditions: the records outlive the list.
     explicit UpstreamList(UpstreamRecords& records) : m_records(records) {}
 
-    // Takes in a list or changes of it. `source`: who has them, for the log ("store" or "peer").
-    // Preconditions: times do not fall.
+    // Applies a whole list or changes of it. `source`: their origin for the log ("store" or
+    // "peer"). Preconditions: `now` never decreases between calls.
     void apply(const UpstreamChanges& changes, std::string_view source, MonoTime now);
 
-    // The list holds all changes of before `asOf`. Preconditions: as KnowledgeAge::confirm().
+    // Records that the list includes all changes made before `asOf`. Preconditions: as for
+    // KnowledgeAge::confirm().
     void confirm(MonoTime asOf) { m_age.confirm(asOf); }
 
-    // Whether there was a list yet. Preconditions: none.
+    // Whether a list or changes have been applied yet. Preconditions: none.
     bool hasList() const { return m_hasList; }
-    // Whether any upstream of it says when it started. Preconditions: none.
+    // Whether any upstream in the list reports its start time. Preconditions: none.
     bool reportsStartTimes() const;
     // The list. Preconditions: none.
     const UpstreamTable& table() const { return m_table; }
-    // How much longer an upstream is cold, in milliseconds; 0: it is not. Preconditions: as above.
+    // How much longer an upstream stays cold, in milliseconds, or 0 if it is not cold or not in the
+    // list. Preconditions: `now` never decreases between calls.
     Millis coldLeft(const std::string& id, MonoTime now) const;
-    // Its age in milliseconds, or nothing before the first confirmation. Preconditions: none.
+    // The age of the list in milliseconds, or nothing before the first confirmation.
+    // Preconditions: none.
     std::optional<Millis> age(MonoTime now) const { return m_age.age(now); }
 
 private:
--- a/src/gateway/UpstreamList.cpp
+++ b/src/gateway/UpstreamList.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// In milliseconds. The end of a cold time is news if it moves by more than this.
+// In milliseconds. A shift of the end of an upstream's cold time counts as a change only if it is
+// longer than this.
 constexpr Millis kMinColdEndChange = 500;
 
 void LogChange(const Upstream& upstream, std::string_view source) {
@@ -29,7 +30,7 @@
                                     {"source", std::string(source)}});
 }
 
-// The upstreams of `table` that `changes` take out.
+// The ids of the upstreams that `changes` removes from `table`.
 std::vector<std::string> RemovedBy(const UpstreamChanges& changes, const UpstreamTable& table) {
     std::vector<std::string> removed = changes.removed;
     if (!changes.whole) {
@@ -88,8 +89,8 @@
     }
 }
 
-// What a box of an earlier version passes on says no start; an earlier incarnation, told late by a
-// box or a copy of the store, changes nothing.
+// An entry from a box of an earlier version has no start time, so the recorded one is used. An
+// entry of an earlier incarnation, which a box or a copy of the store may deliver late, is ignored.
 void UpstreamList::take(Upstream upstream, uint64_t revision, std::string_view source,
                         MonoTime now) {
     if (upstream.startedMs == 0) {
@@ -100,8 +101,9 @@
     }
 }
 
-// A cold upstream writes how long it stays cold again and again, which changes nothing: told on
-// each time, a zone that comes back would cost each box and each link four lists.
+// A cold upstream writes its remaining cold time to the store repeatedly, which is no change by
+// itself. If each write were forwarded, a zone that comes back would cost each box and each link
+// the equivalent of four lists.
 bool UpstreamList::isChange(const Upstream& upstream, MonoTime now) const {
     const Upstream* known = m_table.find(upstream.id);
     if (known == nullptr) {
@@ -125,11 +127,12 @@
     if (m_records.cold().note(upstream.incarnation(), upstream.coldLeft, now)) {
         LogCold(upstream, m_records.coldShare().takesPart(upstream.id, now), source);
     }
-    // The first list is one line: a box of a large site would log for a second otherwise.
+    // The first list is logged as one line by apply(). On a large site one line for each upstream
+    // would keep the box logging for a second.
     if (m_hasList) {
         LogChange(upstream, source);
     }
-    // What was there before this box looked counts as old.
+    // Upstreams in the first list were there before this box started, so they don't count as new.
     const MonoTime since = m_hasList ? now : MonoTime{};
     m_table.put(upstream, since, revision);
 }
