--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -30,7 +30,7 @@
 public:
     // What comes over the links for others than the mesh. `from`: the address of the sender.
     struct Sink {
-        std::function<void(const std::string& from, const wire::KnowledgeAskT&)> onKnowledgeRequest;
+        std::function<void(const std::string& from, const wire::KnowledgeAskT&)> onKnowledgeQuery;
         std::function<void(const std::string& from, const wire::KnowledgeReplyT&)> onKnowledgeReply;
         std::function<void(const std::string& from, const wire::CrashReportsT&)> onCrashReports;
         std::function<void(const std::string& address)> onLinked;  // A link stands.
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -50,7 +50,7 @@
     Task<> run();
 
     // Replies to the request of the box at `from`. Preconditions: none.
-    void onKnowledgeRequest(const std::string& from, const wire::KnowledgeAskT& ask);
+    void onKnowledgeQuery(const std::string& from, const wire::KnowledgeAskT& ask);
 
     // Processes the reply of the box at `from`. Preconditions: none.
     void onKnowledgeReply(const std::string& from, const wire::KnowledgeReplyT& reply);
@@ -82,14 +82,14 @@
 
     void step(MonoTime now);
     void updateDuty(StoreDutyDecision duty, MonoTime now);
-    void requestFromWatcher(MonoTime now);
-    void requestFromPeers(MonoTime now);
+    void queryWatcher(MonoTime now);
+    void queryPeers(MonoTime now);
     void catchUp(const std::string& from, const wire::KnowledgeReplyT& reply, bool askedChanges);
     void fetch(const std::string& from, bool changesOnly);
     void apply(const PeerUpdate& update);
     void addEvacuations(wire::KnowledgeReplyT& reply, MonoTime now) const;
     void applyEvacuations(const std::string& from, const wire::KnowledgeReplyT& reply);
-    wire::KnowledgeAskT makeRequest(uint64_t round) const;
+    wire::KnowledgeAskT makeQuery(uint64_t round) const;
     KnownAges ages(MonoTime now) const;
     bool isOverdue(MonoTime now) const { return IsOverdue(m_settings.pacing, ages(now)); }
     bool isSeed() const;
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -26,7 +26,7 @@
           [this](ObjectKind kind) { return m_sync.mayCallStore(kind); }),
       m_mesh(io, settings, m_records, m_metrics,
              {[this](const std::string& from, const wire::KnowledgeAskT& ask) {
-                  m_sync.onKnowledgeRequest(from, ask);
+                  m_sync.onKnowledgeQuery(from, ask);
               },
               [this](const std::string& from, const wire::KnowledgeReplyT& reply) {
                   m_sync.onKnowledgeReply(from, reply);
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -267,7 +267,7 @@
     } else if (const auto* list = body.AsBoxList()) {
         applyBoxList(it->second, *list);
     } else if (const auto* ask = body.AsKnowledgeAsk()) {
-        m_sink.onKnowledgeRequest(address, *ask);
+        m_sink.onKnowledgeQuery(address, *ask);
     } else if (const auto* reply = body.AsKnowledgeReply()) {
         m_sink.onKnowledgeReply(address, *reply);
     } else if (const auto* reports = body.AsCrashReports()) {
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -59,10 +59,10 @@
     m_mesh.keepLinked(step.keepLinked);
     updateDuty(step.duty, now);
     if (step.asksWatcher) {
-        requestFromWatcher(now);
+        queryWatcher(now);
     }
     if (step.asksOthers) {
-        requestFromPeers(now);
+        queryPeers(now);
     }
 }
 
@@ -111,7 +111,7 @@
 void PeerSync::onLinked(const std::string& address) {
     const MonoTime now = ReadClocks().mono;
     if (!ages(now).older()) {
-        m_mesh.send(address, makeRequest(m_knowledge.ask(now)));
+        m_mesh.send(address, makeQuery(m_knowledge.ask(now)));
     }
 }
 
@@ -122,7 +122,7 @@
 // Does not ask for upstream changes. They are requested from one box at a time, either the watcher
 // or a box with a newer revision, because the eight boxes that are asked for their ages would all
 // send the same changes.
-wire::KnowledgeAskT PeerSync::makeRequest(uint64_t round) const {
+wire::KnowledgeAskT PeerSync::makeQuery(uint64_t round) const {
     wire::KnowledgeAskT ask;
     ask.round = round;
     ask.have = m_configuration.version();
@@ -131,21 +131,21 @@
     return ask;
 }
 
-void PeerSync::requestFromWatcher(MonoTime now) {
-    wire::KnowledgeAskT ask = makeRequest(m_knowledge.ask(now));
+void PeerSync::queryWatcher(MonoTime now) {
+    wire::KnowledgeAskT ask = makeQuery(m_knowledge.ask(now));
     ask.follows = true;
     ask.want_upstreams = m_upstreams.hasList();
     m_mesh.send(m_watcher, ask);
 }
 
-void PeerSync::requestFromPeers(MonoTime now) {
-    const wire::KnowledgeAskT ask = makeRequest(m_knowledge.ask(now));
+void PeerSync::queryPeers(MonoTime now) {
+    const wire::KnowledgeAskT ask = makeQuery(m_knowledge.ask(now));
     for (const std::string& address : m_knowledge.nextAsked(m_mesh.linkedAddresses())) {
         m_mesh.send(address, ask);
     }
 }
 
-void PeerSync::onKnowledgeRequest(const std::string& from, const wire::KnowledgeAskT& ask) {
+void PeerSync::onKnowledgeQuery(const std::string& from, const wire::KnowledgeAskT& ask) {
     const MonoTime now = ReadClocks().mono;
     if (ask.follows) {
         m_spread.followed(now);
@@ -281,7 +281,7 @@
     if (!round) {
         return;
     }
-    wire::KnowledgeAskT ask = makeRequest(*round);
+    wire::KnowledgeAskT ask = makeQuery(*round);
     ask.no_content = changesOnly;
     ask.want_upstreams = true;
     m_mesh.send(from, ask);
