--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -98,7 +98,7 @@
     // Records the sign that an attempt begun at `sent` observed at its upstream. Returns true if
     // the upstream is ejected because of it. Preconditions: sent <= now; `now` never decreases
     // between calls.
-    bool recordSign(const std::string& id, UpstreamSign sign, MonoTime sent, MonoTime now);
+    bool recordSignal(const std::string& id, UpstreamSign sign, MonoTime sent, MonoTime now);
 
     // The upstreams that asked in their answers to get no requests. Preconditions: none.
     UpstreamAvoidance& avoidance() { return m_avoidance; }
@@ -140,11 +140,11 @@
     bool hasAnnouncements() const { return m_caches.hasAnnouncements(); }
     std::vector<CacheHolding> takeAnnouncements() { return m_caches.takeAnnouncements(); }
 
-    // Records the loads that another box announces. They count for `believed` milliseconds.
-    // Preconditions: believed > 0; `now` never decreases between calls.
+    // Records the loads that another box announces. They count for `validFor` milliseconds.
+    // Preconditions: validFor > 0; `now` never decreases between calls.
     void recordPeerLoads(const std::string& box, PeerCounts::Counts counts, MonoTime now,
-                         Millis believed) {
-        m_peerCounts.take(box, std::move(counts), now, believed);
+                         Millis validFor) {
+        m_peerCounts.take(box, std::move(counts), now, validFor);
     }
     // Records load reports of upstreams that other boxes forward, and returns at most `most` of
     // those that are due to be forwarded to them. Preconditions: `now` never decreases between
--- a/src/gateway/Attempt.cpp
+++ b/src/gateway/Attempt.cpp
@@ -147,7 +147,7 @@
         return;
     }
     const std::string& upstream = m_place.upstream.id;
-    if (m_context.records.recordSign(upstream, *sign, m_start, ReadClocks().mono)) {
+    if (m_context.records.recordSignal(upstream, *sign, m_start, ReadClocks().mono)) {
         m_context.log.ejected(upstream, end);
     }
 }
--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -121,8 +121,8 @@
     return sharedParts.empty() ? 0 : m_prompts.share(ShortHash(sharedParts.back()), now);
 }
 
-bool UpstreamRecords::recordSign(const std::string& id, UpstreamSign sign, MonoTime sent,
-                                 MonoTime now) {
+bool UpstreamRecords::recordSignal(const std::string& id, UpstreamSign sign, MonoTime sent,
+                                   MonoTime now) {
     if (!m_health.note(id, sign, sent, now)) {
         return false;
     }
--- a/tests/UpstreamListTest.cpp
+++ b/tests/UpstreamListTest.cpp
@@ -25,7 +25,7 @@
 
 // Ejects an upstream by a refused connection.
 void Eject(UpstreamRecords& records, const std::string& id) {
-    records.recordSign(id, UpstreamSign::kUnreachable, {0}, {0});
+    records.recordSignal(id, UpstreamSign::kUnreachable, {0}, {0});
 }
 
 }  // namespace
