--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -123,7 +123,7 @@
     std::string m_address;                // Of this box, as others dial it.
     std::map<std::string, Peer> m_links;  // By the peer's address.
     std::optional<BoxDirectory> m_boxes;  // Once this box knows its own address.
-    BoxNews m_news;                       // Which of them the linked boxes know.
+    BoxNews m_announcedBoxes;             // Which of them the linked boxes know.
     std::string m_extraPeer;              // A box to be linked to besides; empty: none.
     std::set<std::string> m_dialing;
     LoadExchange m_exchange;
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -146,7 +146,7 @@
     const MonoTime now = ReadClocks().mono;
     m_links[address] = {link, now};
     m_links[address].dialed = dialed;
-    m_news.linked({address, link->peer().zone});
+    m_announcedBoxes.linked({address, link->peer().zone});
     m_exchange.noteVersion(address, link->peer().takes_load_reports);
     m_boxes->heard({address, link->peer().zone}, now);
     logEvent(Event::kPeerUp,
@@ -164,7 +164,7 @@
     const auto it = m_links.find(link.peer().address);
     if (it != m_links.end() && it->second.link.get() == &link) {
         m_links.erase(it);
-        m_news.closed(link.peer().address);
+        m_announcedBoxes.closed(link.peer().address);
         logEvent(Event::kPeerDown, {{"peer", link.peer().box}});
     }
 }
@@ -208,7 +208,7 @@
 }
 
 void PeerMesh::sendBoxes(const std::string& address, std::span<const KnownBox> boxes) {
-    const std::vector<KnownBox> unknown = m_news.unknownTo(address, boxes);
+    const std::vector<KnownBox> unknown = m_announcedBoxes.unknownTo(address, boxes);
     if (!unknown.empty()) {
         sendTo(address, EncodeMessage(makeBoxList(unknown)));
     }
@@ -238,7 +238,7 @@
         if (entry && ParseEndpoint(entry->address).has_value()) {
             const KnownBox box{entry->address, entry->zone};
             m_boxes->learn(box, now - Millis{entry->heard_s} * 1000);
-            m_news.told(address, box);
+            m_announcedBoxes.told(address, box);
         }
     }
     // Last: a link that takes no more is closed while it is sent to, and `peer` is gone then.
