--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -90,7 +90,7 @@
     const uint32_t number = ShortHash(upstream.id);
     m_pool.drop(upstream.id);
     m_health.forget(upstream.id);
-    m_loads.endIncarnation(upstream.id);
+    m_loads.endLife(upstream.id);
     m_peerCounts.forgetUpstream(number);
     m_caches.forgetHolder(number);
     std::vector<std::function<void()>> ended;
