--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -88,7 +88,7 @@
 private:
     struct Peer {
         std::shared_ptr<FrameLink> link;
-        MonoTime heard;
+        MonoTime lastFrameAt;
         Millis digestPeriod = 0;            // As it announced it last; 0: not yet.
         bool dialed = false;                // By this box.
         bool receivedBoxList = false;       // It told which boxes it knows.
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -173,7 +173,7 @@
     const MonoTime now = ReadClocks().mono;
     std::vector<std::shared_ptr<FrameLink>> silent;
     for (const auto& [address, peer] : m_links) {
-        if (now - peer.heard > SilenceBound(peer.digestPeriod)) {
+        if (now - peer.lastFrameAt > SilenceBound(peer.digestPeriod)) {
             silent.push_back(peer.link);
         }
     }
@@ -254,7 +254,7 @@
     if (it == m_links.end()) {
         return;
     }
-    it->second.heard = now;
+    it->second.lastFrameAt = now;
     m_boxes->heard({address, link.peer().zone}, now);
     if (!IsKnownMessage(body)) {
         recordUnknownFrame(it->second, body);
