--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -1,10 +1,11 @@
-// The links between the gateways of a site: finds the other boxes, holds links to all of a few and
-// to a sample of many, and announces over them what this box has in flight and has learned of
-// caches. A box without links goes on serving.
+// Manages the links between the gateways of a site: discovers the other boxes, keeps links to all
+// of them in a small site and to a sample of them in a large one, and announces over the links the
+// requests that this box has in flight and the cache contents that it has learned. A box without
+// links continues to serve requests.
 //
-// Owns the links and the directory of boxes. Relies on BoxDirectory for whom to dial and on
-// LoadExchange for what to announce to whom. What boxes ask each other of the store is PeerSync's
-// matter.
+// Owns the links and the directory of boxes. BoxDirectory decides which boxes to dial, and
+// LoadExchange what to announce to which box. PeerSync handles the queries for the store's
+// contents that boxes send each other.
 #pragma once
 
 #include "include/gateway/GatewaySettings.h"
@@ -28,58 +29,61 @@
 // Not thread safe: one io_context.
 class PeerMesh {
 public:
-    // What comes over the links for others than the mesh. `from`: the address of the sender.
+    // Handlers for the messages and events that the mesh does not process itself. `from`: the
+    // address of the sender.
     struct Sink {
         std::function<void(const std::string& from, const wire::KnowledgeAskT&)> onKnowledgeQuery;
         std::function<void(const std::string& from, const wire::KnowledgeReplyT&)> onKnowledgeReply;
         std::function<void(const std::string& from, const wire::CrashReportsT&)> onCrashReports;
-        std::function<void(const std::string& address)> onLinked;  // A link stands.
+        std::function<void(const std::string& address)> onLinked;  // A link is established.
     };
 
     // Preconditions: context, settings, records and metrics outlive the mesh.
     PeerMesh(asio::io_context& io, const GatewaySettings& settings, UpstreamRecords& records,
              Metrics& metrics, Sink sink);
 
-    // Listens and begins to dial. Errors: kUnavailable if the address cannot be bound.
+    // Starts listening and dialing. Errors: kUnavailable if the address cannot be bound.
     // Preconditions: called once.
     Result<bool> start();
 
-    // Where it listens. Preconditions: start() succeeded.
+    // The endpoint on which this box listens for links. Preconditions: start() succeeded.
     Endpoint endpoint() const { return m_acceptor.local_endpoint(); }
 
-    // This box as others dial it. Preconditions: start() succeeded.
+    // The address at which other boxes dial this box. Preconditions: start() succeeded.
     const std::string& address() const { return m_address; }
 
-    // Boxes of the site heard of lately, this one included. Preconditions: none.
+    // The number of boxes of the site that were seen alive within BoxDirectory::kForgetAfter,
+    // including this one. Preconditions: none.
     size_t boxesKnown() const { return m_boxesKnown; }
 
-    // Links that stand. Preconditions: none.
+    // The number of established links. Preconditions: none.
     size_t links() const { return m_links.size(); }
 
-    // Addresses of the boxes to which links stand. Preconditions: none.
+    // The addresses of the boxes to which links are established. Preconditions: none.
     std::vector<std::string> linkedAddresses() const;
 
-    // Whether a link to `address` stands. Preconditions: none.
+    // Whether a link to `address` is established. Preconditions: none.
     bool isLinked(const std::string& address) const { return m_links.contains(address); }
 
-    // Addresses of the zone's boxes in their common order, this one included.
-    // Preconditions: start() succeeded.
+    // The addresses of the boxes of this box's zone, including this one, in the order on which all
+    // boxes agree. Preconditions: start() succeeded.
     std::vector<std::string> zoneOrder() const { return m_boxes->zoneOrder(); }
 
-    // Keeps a link to `address`, beside those that it keeps anyway; empty: to no other box.
+    // Keeps a link to `address` in addition to the links that BoxDirectory selects. An empty
+    // address requests no additional link. Replaces the address of the last call.
     // Preconditions: none.
     void keepLinked(std::string address) { m_extraPeer = std::move(address); }
 
-    // Whether the box at `address` is linked and knows CrashReports; those that do.
-    // Preconditions: none.
+    // Whether the box at `address` is linked and accepts CrashReports. Preconditions: none.
     bool takesCrashReports(const std::string& address) const;
+    // The addresses of all linked boxes that accept CrashReports. Preconditions: none.
     std::vector<std::string> linkedTakingCrashReports() const;
 
-    // Sends a frame to the boxes that it is for; to those that are not linked it is dropped.
+    // Sends a frame to the boxes in `outgoing.to`; drops it for boxes that are not linked.
     // Preconditions: none.
     void sendEncoded(const OutgoingFrame& outgoing);
 
-    // Sends a message to one box; dropped if there is no link to it. Preconditions: none.
+    // Sends a message to one box; drops it if that box is not linked. Preconditions: none.
     template <class Message>
     void send(const std::string& address, Message message) {
         sendTo(address, EncodeMessage(std::move(message)));
@@ -89,10 +93,10 @@
     struct Peer {
         std::shared_ptr<FrameLink> link;
         MonoTime lastFrameAt;
-        Millis digestPeriod = 0;            // As it announced it last; 0: not yet.
-        bool dialed = false;                // By this box.
-        bool receivedBoxList = false;       // It told which boxes it knows.
-        bool receivedUnknownFrame = false;  // A frame of a kind that this build does not know.
+        Millis digestPeriod = 0;       // As last announced by the peer; 0 if not yet announced.
+        bool dialed = false;           // This box dialed the link.
+        bool receivedBoxList = false;  // The peer has sent its box list.
+        bool receivedUnknownFrame = false;  // Of a type that this build does not know.
     };
 
     Task<> acceptLink(Tcp::socket socket);
@@ -119,16 +123,16 @@
     Metrics& m_metrics;
     Sink m_sink;
     Tcp::acceptor m_acceptor;
-    std::string m_self;                   // This life's name.
-    std::string m_address;                // Of this box, as others dial it.
+    std::string m_self;                   // Unique name of this process.
+    std::string m_address;                // At which other boxes dial this box.
     std::map<std::string, Peer> m_links;  // By the peer's address.
-    std::optional<BoxDirectory> m_boxes;  // Once this box knows its own address.
-    BoxNews m_announcedBoxes;             // Which of them the linked boxes know.
-    std::string m_extraPeer;              // A box to be linked to besides; empty: none.
+    std::optional<BoxDirectory> m_boxes;  // Set once this box knows its address.
+    BoxNews m_announcedBoxes;             // Which of them the linked boxes know of.
+    std::string m_extraPeer;              // See keepLinked(); empty if none.
     std::set<std::string> m_dialing;
     LoadExchange m_exchange;
     size_t m_boxesKnown = 1;
-    std::map<std::string, size_t> m_builds;  // Links by the build at their other end.
+    std::map<std::string, size_t> m_builds;  // Number of links by the peer's build.
 };
 
 }  // namespace onyx
--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -1,9 +1,9 @@
 // Synchronizes the store's contents between the boxes of a site. A reply carries the age of the
 // sender's data and all evacuations, and on request the changes since a revision or the whole
-// contents. Carries out the decisions of KnowledgeSpread: which boxes this box sends requests to,
+// contents. Carries out the decisions of KnowledgeSpread: which boxes this box queries,
 // and whether it calls the store itself.
 //
-// Owns the pending requests. Relies on PeerMesh for the messages and on KnowledgeSpread and
+// Owns the pending queries. Relies on PeerMesh for the messages and on KnowledgeSpread and
 // PeerKnowledge for the rules. Applies replies to the configuration, the upstream list and the
 // evacuation list.
 #pragma once
@@ -45,11 +45,11 @@
     PeerSync(const GatewaySettings& settings, const Dialect& dialect, const SyncedState& known,
              StoreController& store, PeerMesh& mesh);
 
-    // Sends requests to other boxes until the process ends. Preconditions: called once; mesh and
-    // store were started.
+    // Queries other boxes until the process ends. Preconditions: called once; mesh and store were
+    // started.
     Task<> run();
 
-    // Replies to the request of the box at `from`. Preconditions: none.
+    // Replies to the query of the box at `from`. Preconditions: none.
     void onKnowledgeQuery(const std::string& from, const wire::KnowledgeAskT& ask);
 
     // Processes the reply of the box at `from`. Preconditions: none.
--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -95,7 +95,7 @@
     // Preconditions: none.
     uint8_t startTagOf(uint32_t number) const;
 
-    // Records the sign that an attempt begun at `sent` observed at its upstream. Returns true if
+    // Records the signal that an attempt begun at `sent` observed at its upstream. Returns true if
     // the upstream is ejected because of it. Preconditions: sent <= now; `now` never decreases
     // between calls.
     bool recordSignal(const std::string& id, UpstreamSign sign, MonoTime sent, MonoTime now);
--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 // All times in milliseconds.
-constexpr Millis kDialPeriod = 500;  // A box that is back is linked to well within 3 s.
-// Boxes that this box dials; as many dial it. With 32 links the digests of a site of 85 boxes fit
-// into the budget of control bytes once a second.
+constexpr Millis kDialPeriod = 500;  // Links to a box that comes back well within 3 s.
+// Maximum number of boxes that this box dials; as many dial it. With the resulting 32 links, the
+// digests of a site of 85 boxes fit into the budget of control bytes once a second.
 constexpr size_t kMaxDialed = 16;
 
 }  // namespace
@@ -129,8 +129,8 @@
     m_dialing.erase(address);
 }
 
-// Of two boxes the one that dialed says first which boxes it knows; the other answers with those
-// that were missing.
+// The box that dialed sends its box list first; the other one answers with the boxes that are
+// missing from that list.
 void PeerMesh::addLink(const std::shared_ptr<FrameLink>& link, bool dialed) {
     const std::string address = link->peer().address;
     if (address == m_address || link->peer().box == m_self) {
@@ -183,7 +183,7 @@
 }
 
 wire::BoxListT PeerMesh::makeBoxList(const std::vector<KnownBox>& boxes) const {
-    constexpr Millis kMaxSeconds = 65535;  // That a frame can carry.
+    constexpr Millis kMaxSeconds = 65535;  // Maximum of the frame's field.
     const MonoTime now = ReadClocks().mono;
     wire::BoxListT list;
     for (const KnownBox& box : boxes) {
@@ -224,7 +224,8 @@
     link->sendEncoded(std::move(frame));
 }
 
-// A link that takes no more is closed while it is sent to, so the links are not walked themselves.
+// Sending closes a link that accepts no more frames and so erases it from m_links. Therefore this
+// iterates over the addresses and not over m_links.
 void PeerMesh::sendEncoded(const OutgoingFrame& outgoing) {
     for (const std::string& address : outgoing.to) {
         sendTo(address, outgoing.frame);
@@ -241,7 +242,7 @@
             m_announcedBoxes.told(address, box);
         }
     }
-    // Last: a link that takes no more is closed while it is sent to, and `peer` is gone then.
+    // Must come last: sending closes a link that accepts no more frames, which destroys `peer`.
     if (!std::exchange(peer.receivedBoxList, true) && !peer.dialed) {
         sendBoxes(address, m_boxes->all());
     }
@@ -283,7 +284,8 @@
     }
 }
 
-// Shows how far a rolling upgrade is. A build that no link has any more stays, with 0.
+// Shows the progress of a rolling upgrade. A build that no linked box runs any more stays in the
+// metric with the value 0.
 void PeerMesh::countLinksByBuild() {
     for (auto& [build, links] : m_builds) {
         links = 0;
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// In milliseconds. Period at which this box decides which boxes to send requests to and whether to
+// In milliseconds. Period at which this box decides which boxes to query and whether to
 // call the store. Short compared with the shortest of the times that these decisions depend on.
 constexpr Millis kStepPeriod = 100;
 // A watcher that has sent this many consecutive replies without evacuations runs an earlier build.
@@ -71,7 +71,7 @@
     return m_upstreams.hasList() && empty;
 }
 
-// A box without seeds has no box to send requests to when it starts, so it counts as a seed.
+// A box without seeds has no box to query when it starts, so it counts as a seed.
 bool PeerSync::isSeed() const {
     const auto isSelf = [this](const Endpoint& seed) {
         return EndpointText(seed) == m_mesh.address();
