--- a/tests/ConfigurationStateTest.cpp
+++ b/tests/ConfigurationStateTest.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("Versions of the configuration only rise") {
+TEST_CASE("The configuration's version never decreases") {
     ConfigurationState state;
     CHECK(state.version() == 0);
     state.apply(Version(4));
@@ -27,12 +27,11 @@
     CHECK(state.text() == "text of 5");
 }
 
-TEST_CASE(
-    "A configuration that cannot be used leaves the one in force, and says nothing of its age") {
+TEST_CASE("An invalid configuration changes neither the one in force nor its age") {
     ConfigurationState state;
     state.apply(Version(4));
     StoredConfiguration broken = Version(5);
-    broken.parts.routes.push_back(Route{});  // Without a service.
+    broken.parts.routes.push_back(Route{});  // A route without a service is invalid.
     state.apply(broken);
     state.reject(Error{ErrorCode::kBadInput, "configuration", "", "not JSON"});
     CHECK(state.version() == 4);
--- a/tests/UpstreamListTest.cpp
+++ b/tests/UpstreamListTest.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("A whole list takes out what it does not have, and what was seen of that is forgotten") {
+TEST_CASE("A whole list removes the upstreams that it omits and discards their records") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), HealthSettings());
     UpstreamList list(records);
@@ -46,7 +46,7 @@
     CHECK(records.isEjected("b", {1}));
 }
 
-TEST_CASE("What the first list has counts as old, what comes later as new") {
+TEST_CASE("Upstreams of the first list count as old, upstreams added later as new") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), HealthSettings());
     UpstreamList list(records);
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-TEST_CASE("An upstream that starts again under its id is another one: nothing of before holds") {
+TEST_CASE("A restart under the same id discards all records of the previous incarnation") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), HealthSettings());
     UpstreamList list(records);
@@ -89,11 +89,12 @@
     CHECK_FALSE(records.hasAnnouncements());
     CHECK(list.table().all().at("a").since == MonoTime{200});
 
-    // An attempt of before that ends late takes no count from the new one.
+    // An attempt at the previous incarnation that ends late does not lower the new one's count.
     const uint64_t late = records.beginAttempt({"a", 2000}, [&] { ++restarts; });
     records.endAttempt(early);
     CHECK(records.load("a", {200}).exact == 1);
-    // One that was placed before and begins late does not count there.
+    // An attempt placed at the previous incarnation that begins late does not raise the new one's
+    // count.
     const uint64_t placedBefore = records.beginAttempt({"a", 1000}, [] {});
     CHECK(records.load("a", {200}).exact == 1);
     records.endAttempt(placedBefore);
@@ -103,7 +104,7 @@
 }
 
 TEST_CASE(
-    "An earlier incarnation that is told late changes nothing, also after the upstream went") {
+    "A late entry of an earlier incarnation is ignored, even after the upstream was removed") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), HealthSettings());
     UpstreamList list(records);
@@ -121,7 +122,7 @@
     CHECK(list.table().find("a")->startedMs == 3000);
 }
 
-TEST_CASE("A box of an earlier version tells no start: the one that is known stays") {
+TEST_CASE("An entry without a start time, from a box of an earlier version, keeps the known one") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), HealthSettings());
     UpstreamList list(records);
@@ -134,7 +135,7 @@
     CHECK(list.table().find("a")->startedMs == 2000);
 }
 
-TEST_CASE("What other boxes say counts for the incarnation that they mean") {
+TEST_CASE("Data from other boxes counts only for the incarnation that it is about") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), HealthSettings());
     const uint32_t number = ShortHash("a");
@@ -142,7 +143,7 @@
     records.recordStart({"a", 1000});
     CHECK(records.startTagOf(number) == StartTag(1000));
     CHECK(records.isCurrent(number, StartTag(1000)));
-    CHECK(records.isCurrent(number, 0));  // An earlier version, and only one incarnation was seen.
+    CHECK(records.isCurrent(number, 0));  // From an earlier version; only one incarnation seen.
     CHECK_FALSE(records.isCurrent(number, StartTag(2000)));
     records.recordStart({"a", 2000});
     CHECK_FALSE(records.isCurrent(number, StartTag(1000)));
@@ -150,8 +151,9 @@
     CHECK(records.isCurrent(number, StartTag(2000)));
 }
 
-// Guards against lists that are told on for each second that an upstream is less cold.
-TEST_CASE("Of a cold upstream only the beginning and what moves its end are changes") {
+// Guards against forwarding the list for each second by which a cold upstream's remaining cold time
+// shrinks.
+TEST_CASE("Only the start of an upstream's cold time and a shift of its end are list changes") {
     asio::io_context io;
     UpstreamRecords records(io.get_executor(), HealthSettings());
     UpstreamList list(records);
