--- a/src/gateway/StoreController.cpp
+++ b/src/gateway/StoreController.cpp
@@ -182,16 +182,16 @@
     EvacuationChanges changes;
     changes.whole = update.whole;
     changes.revision = update.revision;
-    std::map<std::string, bool> stands;  // The last object for a zone counts.
+    std::map<std::string, bool> isActive;  // The last object for a zone counts.
     for (const StoredObject& object : update.objects) {
         if (const auto* error = std::get_if<Error>(&object.content)) {
             recordUnreadable("evacuation " + object.name, error->text());
         } else {
-            stands[object.name] = !object.removed;
+            isActive[object.name] = !object.removed;
         }
     }
-    for (const auto& [zone, stand] : stands) {
-        (stand ? changes.begun : changes.ended).push_back(zone);
+    for (const auto& [zone, active] : isActive) {
+        (active ? changes.begun : changes.ended).push_back(zone);
     }
     const bool authoritative = update.whole && update.asOf;
     m_evacuationList.apply(changes, authoritative, "store", ReadClocks().mono);
