--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -84,7 +84,8 @@
     void updateDuty(StoreDutyDecision duty, MonoTime now);
     void queryWatcher(MonoTime now);
     void queryPeers(MonoTime now);
-    void catchUp(const std::string& from, const wire::KnowledgeReplyT& reply, bool askedChanges);
+    void catchUp(const std::string& from, const wire::KnowledgeReplyT& reply,
+                 bool requestedChanges);
     void fetch(const std::string& from, bool changesOnly);
     void apply(const PeerUpdate& update);
     void addEvacuations(wire::KnowledgeReplyT& reply, MonoTime now) const;
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -48,13 +48,13 @@
 void PeerSync::step(MonoTime now) {
     const std::vector<std::string> zone = m_mesh.zoneOrder();
     const std::vector<std::string> linked = m_mesh.linkedAddresses();
-    KnowledgeSurroundings around{zone, m_mesh.address(), linked};
-    around.boxes = m_mesh.boxesKnown();
-    around.isSeed = isSeed();
-    around.idle = isIdle();
-    around.age = ages(now).older();
-    around.overdue = isOverdue(now);
-    const KnowledgeStep step = m_spread.step(around, now);
+    KnowledgeSurroundings inputs{zone, m_mesh.address(), linked};
+    inputs.boxes = m_mesh.boxesKnown();
+    inputs.isSeed = isSeed();
+    inputs.idle = isIdle();
+    inputs.age = ages(now).older();
+    inputs.overdue = isOverdue(now);
+    const KnowledgeStep step = m_spread.step(inputs, now);
     m_watcher = step.watcher;
     m_mesh.keepLinked(step.keepLinked);
     updateDuty(step.duty, now);
@@ -186,8 +186,8 @@
 // store.
 void PeerSync::applyEvacuations(const std::string& from, const wire::KnowledgeReplyT& reply) {
     if (from == m_watcher && m_settings.evacuationBound > 0) {
-        const bool tellsNone = !reply.tells_evacuations && reply.watches;
-        m_repliesWithoutEvacuations = tellsNone ? m_repliesWithoutEvacuations + 1 : 0;
+        const bool hasNoEvacuations = !reply.tells_evacuations && reply.watches;
+        m_repliesWithoutEvacuations = hasNoEvacuations ? m_repliesWithoutEvacuations + 1 : 0;
         if (m_repliesWithoutEvacuations == kMaxRepliesWithoutEvacuations) {
             m_store.wake();
         }
@@ -205,7 +205,7 @@
 }
 
 void PeerSync::onKnowledgeReply(const std::string& from, const wire::KnowledgeReplyT& reply) {
-    const bool askedChanges = m_knowledge.endFetch(reply.round) || from == m_watcher;
+    const bool requestedChanges = m_knowledge.endFetch(reply.round) || from == m_watcher;
     applyEvacuations(from, reply);
     const auto asOf = m_knowledge.answered(reply.round, reply.age_ms);
     if (asOf) {
@@ -213,13 +213,13 @@
                m_knowledge.answered(reply.round, reply.upstreams_age_ms)});
     }
     const MonoTime now = ReadClocks().mono;
-    std::optional<Millis> theirs;
+    std::optional<Millis> peerAge;
     if (reply.age_ms >= 0 && reply.upstreams_age_ms >= 0) {
-        theirs = std::max(reply.age_ms, reply.upstreams_age_ms);
+        peerAge = std::max(reply.age_ms, reply.upstreams_age_ms);
     }
-    m_spread.replied(from, theirs, ages(now).older(), now);
+    m_spread.replied(from, peerAge, ages(now).older(), now);
     if (!m_duty.calls || isOverdue(now)) {
-        catchUp(from, reply, askedChanges);
+        catchUp(from, reply, requestedChanges);
     }
 }
 
@@ -253,9 +253,9 @@
 // which is near and saves the other box's bandwidth. If the copy does not have the data yet, it is
 // fetched from the box.
 void PeerSync::catchUp(const std::string& from, const wire::KnowledgeReplyT& reply,
-                       bool askedChanges) {
+                       bool requestedChanges) {
     const bool upstreams = reply.upstreams_revision > m_upstreams.table().revision();
-    if (upstreams && !askedChanges && m_upstreams.hasList()) {
+    if (upstreams && !requestedChanges && m_upstreams.hasList()) {
         fetch(from, true);
     } else if (upstreams && reply.upstreams_revision > m_copyRead.upstreams) {
         m_copyRead.upstreams = reply.upstreams_revision;
