--- a/include/gateway/UpstreamList.h
+++ b/include/gateway/UpstreamList.h
@@ -43,7 +43,7 @@
     std::optional<Millis> age(MonoTime now) const { return m_age.age(now); }
 
 private:
-    void take(Upstream upstream, uint64_t revision, std::string_view source, MonoTime now);
+    void applyEntry(Upstream upstream, uint64_t revision, std::string_view source, MonoTime now);
     bool isChange(const Upstream& upstream, MonoTime now) const;
     void recordStart(const Upstream& upstream, std::string_view source);
     void put(const Upstream& upstream, uint64_t revision, std::string_view source, MonoTime now);
--- a/src/gateway/UpstreamList.cpp
+++ b/src/gateway/UpstreamList.cpp
@@ -55,7 +55,7 @@
         remove(id, changes.revision, source);
     }
     for (const Upstream& upstream : changes.changed) {
-        take(upstream, changes.revision, source, now);
+        applyEntry(upstream, changes.revision, source, now);
     }
     m_table.setRevision(changes.revision);
     if (!m_hasList) {
@@ -91,8 +91,8 @@
 
 // An entry from a box of an earlier version has no start time, so the recorded one is used. An
 // entry of an earlier incarnation, which a box or a copy of the store may deliver late, is ignored.
-void UpstreamList::take(Upstream upstream, uint64_t revision, std::string_view source,
-                        MonoTime now) {
+void UpstreamList::applyEntry(Upstream upstream, uint64_t revision, std::string_view source,
+                              MonoTime now) {
     if (upstream.startedMs == 0) {
         upstream.startedMs = m_records.latestStartOf(upstream.id);
     }
@@ -109,10 +109,10 @@
     if (known == nullptr) {
         return true;
     }
-    Upstream apartFromCold = upstream;
-    apartFromCold.coldLeft = known->coldLeft;
+    Upstream withKnownCold = upstream;
+    withKnownCold.coldLeft = known->coldLeft;
     const Millis change = upstream.coldLeft - coldLeft(upstream.id, now);
-    return apartFromCold != *known || std::abs(change) > kMinColdEndChange;
+    return withKnownCold != *known || std::abs(change) > kMinColdEndChange;
 }
 
 void UpstreamList::put(const Upstream& upstream, uint64_t revision, std::string_view source,
--- a/tests/UpstreamListTest.cpp
+++ b/tests/UpstreamListTest.cpp
@@ -158,7 +158,7 @@
     UpstreamRecords records(io.get_executor(), HealthSettings());
     UpstreamList list(records);
     list.apply(Whole(3, {"a"}), "store", {100});
-    const auto say = [&](uint64_t revision, Millis left, Millis at) {
+    const auto applyColdLeft = [&](uint64_t revision, Millis left, Millis at) {
         UpstreamChanges changes;
         changes.revision = revision;
         changes.changed.push_back(UpstreamOf("a"));
@@ -166,14 +166,14 @@
         list.apply(changes, "store", {at});
         return list.table().changesSince(revision - 1).changed.size();
     };
-    CHECK(say(4, 3000, 1000) == 1);
+    CHECK(applyColdLeft(4, 3000, 1000) == 1);
     CHECK(list.coldLeft("a", {1000}) == 3000);
-    CHECK(say(5, 1800, 2200) == 0);
-    CHECK(say(6, 0, 4100) == 0);
+    CHECK(applyColdLeft(5, 1800, 2200) == 0);
+    CHECK(applyColdLeft(6, 0, 4100) == 0);
     CHECK(list.coldLeft("a", {4100}) == 0);
-    CHECK(say(7, 3000, 10000) == 1);
-    CHECK(say(8, 3000, 11500) == 1);
+    CHECK(applyColdLeft(7, 3000, 10000) == 1);
+    CHECK(applyColdLeft(8, 3000, 11500) == 1);
     CHECK(list.coldLeft("a", {11500}) == 3000);
-    CHECK(say(9, 0, 12000) == 1);
+    CHECK(applyColdLeft(9, 0, 12000) == 1);
     CHECK(list.coldLeft("a", {12000}) == 0);
 }
