--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -41,10 +41,10 @@
         m_boxes->learn({EndpointText(seed), {}}, now);
     }
     const auto executor = m_io.get_executor();
-    const auto greet = [this, executor](Tcp::socket socket) {
+    const auto accept = [this, executor](Tcp::socket socket) {
         Spawn(executor, acceptLink(std::move(socket)));
     };
-    Spawn(executor, AcceptAll(m_acceptor, greet));
+    Spawn(executor, AcceptAll(m_acceptor, accept));
     Spawn(executor, dialPeers());
     Spawn(executor, announceLoads());
     return true;
