--- a/src/gateway/UpstreamRecords.cpp
+++ b/src/gateway/UpstreamRecords.cpp
@@ -73,13 +73,13 @@
     if (m_latestStarts.size() >= kMaxRecordedStarts) {
         m_latestStarts.clear();
     }
-    LatestStart& life = m_latestStarts[ShortHash(upstream.id)];
-    const int64_t before = std::exchange(life.startedMs, upstream.startedMs);
+    LatestStart& latest = m_latestStarts[ShortHash(upstream.id)];
+    const int64_t before = std::exchange(latest.startedMs, upstream.startedMs);
     if (before == 0 || before >= upstream.startedMs) {
-        life.startedMs = std::max(before, upstream.startedMs);
+        latest.startedMs = std::max(before, upstream.startedMs);
         return std::nullopt;
     }
-    life.restarted = true;
+    latest.restarted = true;
     endIncarnation(upstream);
     return before;
 }
