--- a/src/gateway/PeerMesh.cpp
+++ b/src/gateway/PeerMesh.cpp
@@ -183,7 +183,7 @@
 }
 
 wire::BoxListT PeerMesh::makeBoxList(const std::vector<KnownBox>& boxes) const {
-    constexpr Millis kMaxSeconds = 65535;  // Maximum of the frame's field.
+    constexpr Millis kMaxSeconds = 65535;  // Maximum of the frame field heard_s.
     const MonoTime now = ReadClocks().mono;
     wire::BoxListT list;
     for (const KnownBox& box : boxes) {
--- a/src/gateway/UpstreamList.cpp
+++ b/src/gateway/UpstreamList.cpp
@@ -132,7 +132,7 @@
     if (m_hasList) {
         LogChange(upstream, source);
     }
-    // Upstreams in the first list were there before this box started, so they don't count as new.
+    // Upstreams in the first list existed before this box read it, so they count as old.
     const MonoTime since = m_hasList ? now : MonoTime{};
     m_table.put(upstream, since, revision);
 }
