--- a/include/gateway/StoreController.h
+++ b/include/gateway/StoreController.h
@@ -24,7 +24,7 @@
     // Whether the store may be called now for objects of this kind.
     using MayCall = std::function<bool(ObjectKind)>;
 
-    // `facts`: returns the inputs of the store pacing; called each time they are needed.
+    // `facts`: returns the inputs of the store pacing; called each time that they are needed.
     // Preconditions: all arguments but `facts` outlive the controller.
     StoreController(asio::any_io_executor executor, const GatewaySettings& settings,
                     const Dialect& dialect, ConfigurationState& configuration,
--- a/src/gateway/StoreController.cpp
+++ b/src/gateway/StoreController.cpp
@@ -206,8 +206,8 @@
 }
 
 // If any upstream reports its start time, all do. An entry without one then comes from another
-// writer. It is rejected, since an entry that does not identify an incarnation must not replace one
-// that does.
+// writer. It is logged and counts as removed, since an entry that does not identify an incarnation
+// must not replace one that does.
 UpstreamChanges StoreController::makeUpstreamChanges(const StoreUpdate& update) const {
     UpstreamChanges changes;
     changes.whole = update.whole;
