--- a/tests/BoxDirectoryTest.cpp
+++ b/tests/BoxDirectoryTest.cpp
@@ -128,7 +128,7 @@
 // Boxes that exchange sightings with their neighbours, each every five seconds, in virtual time.
 class SightingSite {
 public:
-    explicit SightingSite(size_t count) : m_latestStarts(count, true) {
+    explicit SightingSite(size_t count) : m_lives(count, true) {
         for (size_t i = 0; i < count; ++i) {
             m_boxes.emplace_back(address(i), kMostDialed);
             for (size_t other = 0; other < count; ++other) {
@@ -137,7 +137,7 @@
         }
     }
 
-    void kill(size_t box) { m_latestStarts[box] = false; }
+    void kill(size_t box) { m_lives[box] = false; }
     void stopTelling() { m_tells = false; }
 
     void play(Millis time) {
@@ -160,15 +160,14 @@
     }
 
     void tell(size_t from) {
-        if (!m_latestStarts[from]) {
+        if (!m_lives[from]) {
             return;
         }
         const auto sightings = m_boxes[from].takeSightings(m_now);
         m_most = std::max(m_most, sightings.size());
         std::set<std::string> linked;
         for (size_t to = 0; to < m_boxes.size(); ++to) {
-            if (to == from || !m_latestStarts[to] ||
-                !m_boxes[from].isNeighbour(address(to).address)) {
+            if (to == from || !m_lives[to] || !m_boxes[from].isNeighbour(address(to).address)) {
                 continue;
             }
             linked.insert(address(to).address);
@@ -184,7 +183,7 @@
     }
 
     std::vector<BoxDirectory> m_boxes;
-    std::vector<bool> m_latestStarts;
+    std::vector<bool> m_lives;
     bool m_tells = true;
     MonoTime m_now{1000};
     size_t m_most = 0;
--- a/tests/Fleet.cpp
+++ b/tests/Fleet.cpp
@@ -205,7 +205,7 @@
         const auto work = server.waiting.front();
         server.waiting.erase(server.waiting.begin());
         ++server.working;
-        m_activeAttempts[work->number] = work;
+        m_underWay[work->number] = work;
         at(m_now + work->firstAnswer, [this, work] {
             if (work->ended) {
                 return;
@@ -228,7 +228,7 @@
         return;
     }
     work->ended = true;
-    m_activeAttempts.erase(work->number);
+    m_underWay.erase(work->number);
     --m_servers[work->server]->working;
     --m_held;
     admitWaiting(work->server);
@@ -256,7 +256,7 @@
         });
         m_held -= dropped;
     }
-    const auto underWay = m_activeAttempts;
+    const auto underWay = m_underWay;
     for (const auto& [number, work] : underWay) {
         if (m_boxes[work->box]->life != work->life) {
             end(work);
--- a/tests/Fleet.h
+++ b/tests/Fleet.h
@@ -114,8 +114,8 @@
     double m_hotShare = 0;
     size_t m_held = 0;  // By all upstreams.
     uint64_t m_requests = 0;
-    std::map<uint64_t, std::shared_ptr<Work>> m_activeAttempts;  // At work, not waiting; by number.
-    std::set<std::pair<std::string, size_t>> m_copies;           // Prompts and who has seen them.
+    std::map<uint64_t, std::shared_ptr<Work>> m_underWay;  // At work, not waiting; by number.
+    std::set<std::pair<std::string, size_t>> m_copies;     // Prompts and who has seen them.
     FleetFigures m_figures;
 };
 
