--- a/include/gateway/CrashExchange.h
+++ b/include/gateway/CrashExchange.h
@@ -98,7 +98,7 @@
     bool isSuspect(uint64_t request) const { return m_quarantine.crashCount(request) > 1; }
     bool recordCrash(const CrashObservation& observation, Origin origin, MonoTime now);
     void recordAnswer(uint64_t request, MonoTime at, Origin origin, MonoTime now);
-    void queueSightings(uint64_t request, int roundsLeft, MonoTime now);
+    void queueObservations(uint64_t request, int roundsLeft, MonoTime now);
     void queueAnswer(const PendingAnswer& pending);
     void noteRedundantReport(const CrashObservation& observation);
     bool isQuarantined(uint64_t request, MonoTime now) const {
--- a/src/gateway/CrashExchange.cpp
+++ b/src/gateway/CrashExchange.cpp
@@ -28,8 +28,8 @@
 constexpr Millis kSuspectPeriod = 200;
 constexpr Millis kRoutingPeriod = 200;
 constexpr size_t kMaxPending = 512;  // Entries per queue; when it is full, the oldest is dropped.
-// Sightings that a newly linked box receives: in all, and single crashes among them.
-constexpr size_t kMaxInitialSightings = 512;
+// Crash observations that a newly linked box receives: in all, and single crashes among them.
+constexpr size_t kMaxInitialObservations = 512;
 constexpr size_t kMaxInitialSingles = 8;
 // Bytes per second that a box may send for suspects and for single crashes. The budgets are
 // separate so that after the loss of many upstreams neither kind waits for the other. Unspent bytes
@@ -101,18 +101,18 @@
         AppendBounded(m_singleCrashes, {observation, origin});
     }
     if (learned == CrashEffect::kQuarantined) {
-        queueSightings(observation.request, kQuarantineRounds, now);
+        queueObservations(observation.request, kQuarantineRounds, now);
     } else if (wasSuspected) {
         AppendBounded(m_suspectCrashes, {observation, kSuspectRounds});
     } else if (isSuspect(observation.request)) {
-        queueSightings(observation.request, kSuspectRounds, now);
+        queueObservations(observation.request, kSuspectRounds, now);
     }
     return learned == CrashEffect::kQuarantined;
 }
 
-// Queues all known crashes of the request, not only the latest: a box that missed one of them
+// Queues all observed crashes of the request, not only the latest: a box that missed one of them
 // receives it from each box that learns of the next.
-void CrashExchange::queueSightings(uint64_t request, int roundsLeft, MonoTime now) {
+void CrashExchange::queueObservations(uint64_t request, int roundsLeft, MonoTime now) {
     std::erase_if(m_suspectCrashes, [&](const PendingCrash& pending) {
         return pending.observation.request == request;
     });
@@ -381,7 +381,7 @@
     wire::CrashReportsT reports;
     size_t singles = 0;
     for (const CrashObservation& observation :
-         m_quarantine.observations(kMaxInitialSightings, now)) {
+         m_quarantine.observations(kMaxInitialObservations, now)) {
         if (isSuspect(observation.request) || singles++ < kMaxInitialSingles) {
             AddCrash(observation, now, reports);
         }
