--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -63,7 +63,7 @@
     bool watchesForOthers() const;
 
     // Whether this box normally relies on other boxes. Preconditions: none.
-    bool reliesOnPeers() const { return m_spread.reliesOnPeers(); }
+    bool reliesOnPeers() const { return m_refreshPlanner.reliesOnPeers(); }
 
     // Whether this box may call the store now for objects of this kind. Preconditions: none.
     bool mayCallStore(ObjectKind kind);
@@ -104,7 +104,7 @@
     StoreController& m_store;
     PeerMesh& m_mesh;
     PeerQueries m_knowledge;
-    RefreshPlanner m_spread;
+    RefreshPlanner m_refreshPlanner;
     StoreCallDecision m_duty;  // The decision of the last step.
     std::string m_watcher;     // Address of the box that replaces the store; empty if none.
     CopyRead m_copyRead;
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -17,12 +17,12 @@
 // Fewer are not enough: a watcher that has just started has no evacuation list yet.
 constexpr int kMaxRepliesWithoutEvacuations = 4;
 
-RefreshPlannerSettings SpreadSettings(const GatewaySettings& settings) {
-    RefreshPlannerSettings spread;
-    spread.watcherSelector = settings.watcherSelector;
-    spread.storeCall = settings.storeCall;
-    spread.followPeriod = settings.pacing.followPeriod;
-    return spread;
+RefreshPlannerSettings PlannerSettings(const GatewaySettings& settings) {
+    RefreshPlannerSettings planner;
+    planner.watcherSelector = settings.watcherSelector;
+    planner.storeCall = settings.storeCall;
+    planner.followPeriod = settings.pacing.followPeriod;
+    return planner;
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
       m_evacuations(known.evacuations),
       m_store(store),
       m_mesh(mesh),
-      m_spread(SpreadSettings(settings), ReadClocks().mono, std::random_device{}()) {}
+      m_refreshPlanner(PlannerSettings(settings), ReadClocks().mono, std::random_device{}()) {}
 
 Task<> PeerSync::run() {
     while (true) {
@@ -54,7 +54,7 @@
     inputs.idle = isIdle();
     inputs.age = ages(now).older();
     inputs.overdue = isOverdue(now);
-    const RefreshPlan step = m_spread.step(inputs, now);
+    const RefreshPlan step = m_refreshPlanner.step(inputs, now);
     m_watcher = step.watcher;
     m_mesh.keepLinked(step.keepLinked);
     updateDuty(step.storeCall, now);
@@ -99,11 +99,11 @@
     const MonoTime now = ReadClocks().mono;
     return (kind == ObjectKind::kEvacuations &&
             m_repliesWithoutEvacuations >= kMaxRepliesWithoutEvacuations) ||
-           m_spread.mayCall(ages(now).older(), now);
+           m_refreshPlanner.mayCall(ages(now).older(), now);
 }
 
 bool PeerSync::watchesForOthers() const {
-    return m_spread.watchesForOthers(ReadClocks().mono);
+    return m_refreshPlanner.watchesForOthers(ReadClocks().mono);
 }
 
 // A box that has just started has no data yet, and the first box that it links to may have all of
@@ -148,7 +148,7 @@
 void PeerSync::onKnowledgeQuery(const std::string& from, const wire::KnowledgeAskT& ask) {
     const MonoTime now = ReadClocks().mono;
     if (ask.follows) {
-        m_spread.noteFollowerQuery(now);
+        m_refreshPlanner.noteFollowerQuery(now);
     }
     wire::KnowledgeReplyT reply;
     reply.round = ask.round;
@@ -218,7 +218,7 @@
     if (reply.age_ms >= 0 && reply.upstreams_age_ms >= 0) {
         peerAge = std::max(reply.age_ms, reply.upstreams_age_ms);
     }
-    m_spread.noteReply(from, peerAge, ages(now).older(), now);
+    m_refreshPlanner.noteReply(from, peerAge, ages(now).older(), now);
     if (!m_duty.calls || isOverdue(now)) {
         catchUp(from, reply, requestedChanges);
     }
