--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -103,7 +103,7 @@
     EvacuationList& m_evacuations;
     StoreController& m_store;
     PeerMesh& m_mesh;
-    PeerQueries m_knowledge;
+    PeerQueries m_peerQueries;
     RefreshPlanner m_refreshPlanner;
     StoreCallDecision m_duty;  // The decision of the last step.
     std::string m_watcher;     // Address of the box that replaces the store; empty if none.
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -111,7 +111,7 @@
 void PeerSync::onLinked(const std::string& address) {
     const MonoTime now = ReadClocks().mono;
     if (!ages(now).older()) {
-        m_mesh.send(address, makeQuery(m_knowledge.ask(now)));
+        m_mesh.send(address, makeQuery(m_peerQueries.ask(now)));
     }
 }
 
@@ -132,15 +132,15 @@
 }
 
 void PeerSync::queryWatcher(MonoTime now) {
-    wire::KnowledgeAskT ask = makeQuery(m_knowledge.ask(now));
+    wire::KnowledgeAskT ask = makeQuery(m_peerQueries.ask(now));
     ask.follows = true;
     ask.want_upstreams = m_upstreams.hasList();
     m_mesh.send(m_watcher, ask);
 }
 
 void PeerSync::queryPeers(MonoTime now) {
-    const wire::KnowledgeAskT ask = makeQuery(m_knowledge.ask(now));
-    for (const std::string& address : m_knowledge.nextPeers(m_mesh.linkedAddresses())) {
+    const wire::KnowledgeAskT ask = makeQuery(m_peerQueries.ask(now));
+    for (const std::string& address : m_peerQueries.nextPeers(m_mesh.linkedAddresses())) {
         m_mesh.send(address, ask);
     }
 }
@@ -198,20 +198,20 @@
     const EvacuationChanges orders{true, reply.evacuations_revision, reply.evacuated, {}};
     const bool isBehind = orders.revision < m_evacuations.orders().revision();
     m_evacuations.apply(orders, false, "peer", ReadClocks().mono);
-    const auto asOf = m_knowledge.stateAsOf(reply.round, reply.evacuations_age_ms);
+    const auto asOf = m_peerQueries.stateAsOf(reply.round, reply.evacuations_age_ms);
     if (asOf && !isBehind) {
         m_evacuations.confirm(*asOf);
     }
 }
 
 void PeerSync::onKnowledgeReply(const std::string& from, const wire::KnowledgeReplyT& reply) {
-    const bool requestedChanges = m_knowledge.endFetch(reply.round) || from == m_watcher;
+    const bool requestedChanges = m_peerQueries.endFetch(reply.round) || from == m_watcher;
     applyEvacuations(from, reply);
-    const auto asOf = m_knowledge.stateAsOf(reply.round, reply.age_ms);
+    const auto asOf = m_peerQueries.stateAsOf(reply.round, reply.age_ms);
     if (asOf) {
         apply({reply.content, reply.revision, *asOf, ReadUpstreamChanges(reply),
                reply.upstreams_revision,
-               m_knowledge.stateAsOf(reply.round, reply.upstreams_age_ms)});
+               m_peerQueries.stateAsOf(reply.round, reply.upstreams_age_ms)});
     }
     const MonoTime now = ReadClocks().mono;
     std::optional<Millis> peerAge;
@@ -278,7 +278,7 @@
 // `changesOnly`: the reply is to contain upstream changes only, neither the text of the
 // configuration nor a whole upstream list.
 void PeerSync::fetch(const std::string& from, bool changesOnly) {
-    const auto round = m_knowledge.startFetch(ReadClocks().mono);
+    const auto round = m_peerQueries.startFetch(ReadClocks().mono);
     if (!round) {
         return;
     }
