--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -70,7 +70,7 @@
 
     // Whether this box currently relies on other boxes instead of calling the store.
     // Preconditions: none.
-    bool following() const { return !m_duty.calls; }
+    bool following() const { return !m_storeCall.calls; }
 
 private:
     // The highest version and revision for which a copy of the store was read because another box
@@ -81,7 +81,7 @@
     };
 
     void step(MonoTime now);
-    void updateDuty(StoreCallDecision storeCall, MonoTime now);
+    void updateStoreCall(StoreCallDecision storeCall, MonoTime now);
     void queryWatcher(MonoTime now);
     void queryPeers(MonoTime now);
     void catchUp(const std::string& from, const wire::KnowledgeReplyT& reply,
@@ -105,8 +105,8 @@
     PeerMesh& m_mesh;
     PeerQueries m_peerQueries;
     RefreshPlanner m_refreshPlanner;
-    StoreCallDecision m_duty;  // The decision of the last step.
-    std::string m_watcher;     // Address of the box that replaces the store; empty if none.
+    StoreCallDecision m_storeCall;  // The decision of the last step.
+    std::string m_watcher;          // Address of the box that replaces the store; empty if none.
     CopyRead m_copyRead;
     int m_repliesWithoutEvacuations = 0;  // Consecutive ones from the watcher.
 };
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -57,7 +57,7 @@
     const RefreshPlan step = m_refreshPlanner.step(inputs, now);
     m_watcher = step.watcher;
     m_mesh.keepLinked(step.keepLinked);
-    updateDuty(step.storeCall, now);
+    updateStoreCall(step.storeCall, now);
     if (step.queriesWatcher) {
         queryWatcher(now);
     }
@@ -80,8 +80,8 @@
     return seeds.empty() || std::any_of(seeds.begin(), seeds.end(), isSelf);
 }
 
-void PeerSync::updateDuty(StoreCallDecision storeCall, MonoTime now) {
-    if (storeCall == m_duty) {
+void PeerSync::updateStoreCall(StoreCallDecision storeCall, MonoTime now) {
+    if (storeCall == m_storeCall) {
         return;
     }
     const auto age = ages(now).older();
@@ -89,7 +89,7 @@
                                  {"why", std::string(StoreCallReasonName(storeCall.reason))},
                                  {"watcher", m_watcher},
                                  {"knowledge_age_ms", age ? std::to_string(*age) : "none"}});
-    m_duty = storeCall;
+    m_storeCall = storeCall;
     if (storeCall.calls) {
         m_store.wake();
     }
@@ -152,7 +152,7 @@
     }
     wire::KnowledgeReplyT reply;
     reply.round = ask.round;
-    reply.watches = m_duty.calls;
+    reply.watches = m_storeCall.calls;
     reply.age_ms = m_configuration.age(now).value_or(-1);
     reply.revision = m_configuration.version();
     reply.upstreams_age_ms = m_upstreams.age(now).value_or(-1);
@@ -219,7 +219,7 @@
         peerAge = std::max(reply.age_ms, reply.upstreams_age_ms);
     }
     m_refreshPlanner.noteReply(from, peerAge, ages(now).older(), now);
-    if (!m_duty.calls || isOverdue(now)) {
+    if (!m_storeCall.calls || isOverdue(now)) {
         catchUp(from, reply, requestedChanges);
     }
 }
