--- a/include/gateway/PeerMesh.h
+++ b/include/gateway/PeerMesh.h
@@ -96,7 +96,7 @@
         Millis digestPeriod = 0;       // As last announced by the peer; 0 if not yet announced.
         bool dialed = false;           // This box dialed the link.
         bool receivedBoxList = false;  // The peer has sent its box list.
-        bool receivedUnknownFrame = false;  // Of a type that this build does not know.
+        bool receivedUnknownFrame = false;  // Of a type that this build does not support.
     };
 
     Task<> acceptLink(Tcp::socket socket);
@@ -127,7 +127,7 @@
     std::string m_address;                // At which other boxes dial this box.
     std::map<std::string, Peer> m_links;  // By the peer's address.
     std::optional<BoxDirectory> m_boxes;  // Set once this box knows its address.
-    AnnouncedBoxes m_announcedBoxes;      // Which of them the linked boxes know of.
+    AnnouncedBoxes m_announcedBoxes;      // Those that were announced over each link.
     std::string m_extraPeer;              // See keepLinked(); empty if none.
     std::set<std::string> m_dialing;
     LoadExchange m_exchange;
--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -87,9 +87,10 @@
     // The latest known start time of an upstream (Unix time in milliseconds), or 0 if none is
     // known. Preconditions: none.
     int64_t latestStartOf(const std::string& id) const;
-    // Whether another box's data about the upstream `number` is about the incarnation that this box
-    // knows. `tag`: the StartTag that the other box sent. It is 0 if that box sends none; its data
-    // then counts unless this box has seen the upstream restart. Preconditions: none.
+    // Whether another box's data about the upstream `number` is about the latest incarnation that
+    // this box has recorded. `tag`: the StartTag that the other box sent. It is 0 if that box sends
+    // none; its data then counts unless this box has seen the upstream restart. Preconditions:
+    // none.
     bool isCurrent(uint32_t number, uint8_t tag) const;
     // The StartTag that this box sends with the upstream number, or 0 if no start is known.
     // Preconditions: none.
