--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -41,8 +41,8 @@
 // Not thread safe: one io_context.
 class PeerSync {
 public:
-    // Preconditions: all arguments, and the members of `known`, outlive this object.
-    PeerSync(const GatewaySettings& settings, const Dialect& dialect, const SyncedState& known,
+    // Preconditions: all arguments, and the members of `synced`, outlive this object.
+    PeerSync(const GatewaySettings& settings, const Dialect& dialect, const SyncedState& synced,
              StoreController& store, PeerMesh& mesh);
 
     // Queries other boxes until the process ends. Preconditions: called once; mesh and store were
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -28,12 +28,12 @@
 }  // namespace
 
 PeerSync::PeerSync(const GatewaySettings& settings, const Dialect& dialect,
-                   const SyncedState& known, StoreController& store, PeerMesh& mesh)
+                   const SyncedState& synced, StoreController& store, PeerMesh& mesh)
     : m_settings(settings),
       m_dialect(dialect),
-      m_configuration(known.configuration),
-      m_upstreams(known.upstreams),
-      m_evacuations(known.evacuations),
+      m_configuration(synced.configuration),
+      m_upstreams(synced.upstreams),
+      m_evacuations(synced.evacuations),
       m_store(store),
       m_mesh(mesh),
       m_refreshPlanner(PlannerSettings(settings), ReadClocks().mono, std::random_device{}()) {}
