--- a/include/gateway/UpstreamRecords.h
+++ b/include/gateway/UpstreamRecords.h
@@ -88,8 +88,8 @@
     // known. Preconditions: none.
     int64_t latestStartOf(const std::string& id) const;
     // Whether another box's data about the upstream `number` is about the latest incarnation that
-    // this box recorded. `tag`: the StartTag that the other box sent. It is 0 if it sends none; its
-    // data then counts unless this box has seen the upstream restart. Preconditions: none.
+    // this box recorded. `tag`: the StartTag that the other box sent, 0 if that box sends none,
+    // whose data then counts unless this box has seen the upstream restart. Preconditions: none.
     bool isCurrent(uint32_t number, uint8_t tag) const;
     // The StartTag that this box sends with the upstream number, or 0 if no start is known.
     // Preconditions: none.
