--- a/include/gateway/PeerSync.h
+++ b/include/gateway/PeerSync.h
@@ -41,8 +41,8 @@
 // Not thread safe: one io_context.
 class PeerSync {
 public:
-    // Preconditions: all arguments, and the members of `known`, outlive this object.
-    PeerSync(const GatewaySettings& settings, const Dialect& dialect, const SyncedState& known,
+    // Preconditions: all arguments, and the members of `synced`, outlive this object.
+    PeerSync(const GatewaySettings& settings, const Dialect& dialect, const SyncedState& synced,
              StoreController& store, PeerMesh& mesh);
 
     // Queries other boxes until the process ends. Preconditions: called once; mesh and store were
@@ -63,14 +63,14 @@
     bool watchesForOthers() const;
 
     // Whether this box normally relies on other boxes. Preconditions: none.
-    bool reliesOnPeers() const { return m_spread.reliesOnPeers(); }
+    bool reliesOnPeers() const { return m_refreshPlanner.reliesOnPeers(); }
 
     // Whether this box may call the store now for objects of this kind. Preconditions: none.
     bool mayCallStore(ObjectKind kind);
 
     // Whether this box currently relies on other boxes instead of calling the store.
     // Preconditions: none.
-    bool following() const { return !m_duty.calls; }
+    bool following() const { return !m_storeCall.calls; }
 
 private:
     // The highest version and revision for which a copy of the store was read because another box
@@ -81,7 +81,7 @@
     };
 
     void step(MonoTime now);
-    void updateDuty(StoreCallDecision storeCall, MonoTime now);
+    void updateStoreCall(StoreCallDecision storeCall, MonoTime now);
     void queryWatcher(MonoTime now);
     void queryPeers(MonoTime now);
     void catchUp(const std::string& from, const wire::KnowledgeReplyT& reply,
@@ -103,10 +103,10 @@
     EvacuationList& m_evacuations;
     StoreController& m_store;
     PeerMesh& m_mesh;
-    PeerQueries m_knowledge;
-    RefreshPlanner m_spread;
-    StoreCallDecision m_duty;  // The decision of the last step.
-    std::string m_watcher;     // Address of the box that replaces the store; empty if none.
+    PeerQueries m_peerQueries;
+    RefreshPlanner m_refreshPlanner;
+    StoreCallDecision m_storeCall;  // The decision of the last step.
+    std::string m_watcher;          // Address of the box that replaces the store; empty if none.
     CopyRead m_copyRead;
     int m_repliesWithoutEvacuations = 0;  // Consecutive ones from the watcher.
 };
--- a/src/gateway/PeerSync.cpp
+++ b/src/gateway/PeerSync.cpp
@@ -17,26 +17,26 @@
 // Fewer are not enough: a watcher that has just started has no evacuation list yet.
 constexpr int kMaxRepliesWithoutEvacuations = 4;
 
-RefreshPlannerSettings SpreadSettings(const GatewaySettings& settings) {
-    RefreshPlannerSettings spread;
-    spread.watcherSelector = settings.watcherSelector;
-    spread.storeCall = settings.storeCall;
-    spread.followPeriod = settings.pacing.followPeriod;
-    return spread;
+RefreshPlannerSettings PlannerSettings(const GatewaySettings& settings) {
+    RefreshPlannerSettings planner;
+    planner.watcherSelector = settings.watcherSelector;
+    planner.storeCall = settings.storeCall;
+    planner.followPeriod = settings.pacing.followPeriod;
+    return planner;
 }
 
 }  // namespace
 
 PeerSync::PeerSync(const GatewaySettings& settings, const Dialect& dialect,
-                   const SyncedState& known, StoreController& store, PeerMesh& mesh)
+                   const SyncedState& synced, StoreController& store, PeerMesh& mesh)
     : m_settings(settings),
       m_dialect(dialect),
-      m_configuration(known.configuration),
-      m_upstreams(known.upstreams),
-      m_evacuations(known.evacuations),
+      m_configuration(synced.configuration),
+      m_upstreams(synced.upstreams),
+      m_evacuations(synced.evacuations),
       m_store(store),
       m_mesh(mesh),
-      m_spread(SpreadSettings(settings), ReadClocks().mono, std::random_device{}()) {}
+      m_refreshPlanner(PlannerSettings(settings), ReadClocks().mono, std::random_device{}()) {}
 
 Task<> PeerSync::run() {
     while (true) {
@@ -54,10 +54,10 @@
     inputs.idle = isIdle();
     inputs.age = ages(now).older();
     inputs.overdue = isOverdue(now);
-    const RefreshPlan step = m_spread.step(inputs, now);
+    const RefreshPlan step = m_refreshPlanner.step(inputs, now);
     m_watcher = step.watcher;
     m_mesh.keepLinked(step.keepLinked);
-    updateDuty(step.storeCall, now);
+    updateStoreCall(step.storeCall, now);
     if (step.queriesWatcher) {
         queryWatcher(now);
     }
@@ -80,8 +80,8 @@
     return seeds.empty() || std::any_of(seeds.begin(), seeds.end(), isSelf);
 }
 
-void PeerSync::updateDuty(StoreCallDecision storeCall, MonoTime now) {
-    if (storeCall == m_duty) {
+void PeerSync::updateStoreCall(StoreCallDecision storeCall, MonoTime now) {
+    if (storeCall == m_storeCall) {
         return;
     }
     const auto age = ages(now).older();
@@ -89,7 +89,7 @@
                                  {"why", std::string(StoreCallReasonName(storeCall.reason))},
                                  {"watcher", m_watcher},
                                  {"knowledge_age_ms", age ? std::to_string(*age) : "none"}});
-    m_duty = storeCall;
+    m_storeCall = storeCall;
     if (storeCall.calls) {
         m_store.wake();
     }
@@ -99,11 +99,11 @@
     const MonoTime now = ReadClocks().mono;
     return (kind == ObjectKind::kEvacuations &&
             m_repliesWithoutEvacuations >= kMaxRepliesWithoutEvacuations) ||
-           m_spread.mayCall(ages(now).older(), now);
+           m_refreshPlanner.mayCall(ages(now).older(), now);
 }
 
 bool PeerSync::watchesForOthers() const {
-    return m_spread.watchesForOthers(ReadClocks().mono);
+    return m_refreshPlanner.watchesForOthers(ReadClocks().mono);
 }
 
 // A box that has just started has no data yet, and the first box that it links to may have all of
@@ -111,7 +111,7 @@
 void PeerSync::onLinked(const std::string& address) {
     const MonoTime now = ReadClocks().mono;
     if (!ages(now).older()) {
-        m_mesh.send(address, makeQuery(m_knowledge.ask(now)));
+        m_mesh.send(address, makeQuery(m_peerQueries.ask(now)));
     }
 }
 
@@ -132,15 +132,15 @@
 }
 
 void PeerSync::queryWatcher(MonoTime now) {
-    wire::KnowledgeAskT ask = makeQuery(m_knowledge.ask(now));
+    wire::KnowledgeAskT ask = makeQuery(m_peerQueries.ask(now));
     ask.follows = true;
     ask.want_upstreams = m_upstreams.hasList();
     m_mesh.send(m_watcher, ask);
 }
 
 void PeerSync::queryPeers(MonoTime now) {
-    const wire::KnowledgeAskT ask = makeQuery(m_knowledge.ask(now));
-    for (const std::string& address : m_knowledge.nextPeers(m_mesh.linkedAddresses())) {
+    const wire::KnowledgeAskT ask = makeQuery(m_peerQueries.ask(now));
+    for (const std::string& address : m_peerQueries.nextPeers(m_mesh.linkedAddresses())) {
         m_mesh.send(address, ask);
     }
 }
@@ -148,11 +148,11 @@
 void PeerSync::onKnowledgeQuery(const std::string& from, const wire::KnowledgeAskT& ask) {
     const MonoTime now = ReadClocks().mono;
     if (ask.follows) {
-        m_spread.noteFollowerQuery(now);
+        m_refreshPlanner.noteFollowerQuery(now);
     }
     wire::KnowledgeReplyT reply;
     reply.round = ask.round;
-    reply.watches = m_duty.calls;
+    reply.watches = m_storeCall.calls;
     reply.age_ms = m_configuration.age(now).value_or(-1);
     reply.revision = m_configuration.version();
     reply.upstreams_age_ms = m_upstreams.age(now).value_or(-1);
@@ -198,28 +198,28 @@
     const EvacuationChanges orders{true, reply.evacuations_revision, reply.evacuated, {}};
     const bool isBehind = orders.revision < m_evacuations.orders().revision();
     m_evacuations.apply(orders, false, "peer", ReadClocks().mono);
-    const auto asOf = m_knowledge.stateAsOf(reply.round, reply.evacuations_age_ms);
+    const auto asOf = m_peerQueries.stateAsOf(reply.round, reply.evacuations_age_ms);
     if (asOf && !isBehind) {
         m_evacuations.confirm(*asOf);
     }
 }
 
 void PeerSync::onKnowledgeReply(const std::string& from, const wire::KnowledgeReplyT& reply) {
-    const bool requestedChanges = m_knowledge.endFetch(reply.round) || from == m_watcher;
+    const bool requestedChanges = m_peerQueries.endFetch(reply.round) || from == m_watcher;
     applyEvacuations(from, reply);
-    const auto asOf = m_knowledge.stateAsOf(reply.round, reply.age_ms);
+    const auto asOf = m_peerQueries.stateAsOf(reply.round, reply.age_ms);
     if (asOf) {
         apply({reply.content, reply.revision, *asOf, ReadUpstreamChanges(reply),
                reply.upstreams_revision,
-               m_knowledge.stateAsOf(reply.round, reply.upstreams_age_ms)});
+               m_peerQueries.stateAsOf(reply.round, reply.upstreams_age_ms)});
     }
     const MonoTime now = ReadClocks().mono;
     std::optional<Millis> peerAge;
     if (reply.age_ms >= 0 && reply.upstreams_age_ms >= 0) {
         peerAge = std::max(reply.age_ms, reply.upstreams_age_ms);
     }
-    m_spread.noteReply(from, peerAge, ages(now).older(), now);
-    if (!m_duty.calls || isOverdue(now)) {
+    m_refreshPlanner.noteReply(from, peerAge, ages(now).older(), now);
+    if (!m_storeCall.calls || isOverdue(now)) {
         catchUp(from, reply, requestedChanges);
     }
 }
@@ -278,7 +278,7 @@
 // `changesOnly`: the reply is to contain upstream changes only, neither the text of the
 // configuration nor a whole upstream list.
 void PeerSync::fetch(const std::string& from, bool changesOnly) {
-    const auto round = m_knowledge.startFetch(ReadClocks().mono);
+    const auto round = m_peerQueries.startFetch(ReadClocks().mono);
     if (!round) {
         return;
     }
