--- a/include/relay/RequestAttempts.h
+++ b/include/relay/RequestAttempts.h
@@ -111,9 +111,9 @@
 
     // Whether another attempt could follow the next one, if that finds no answer at all.
     // Preconditions: none.
-    bool mayRetryUnanswered() const { return m_rules.repeatable && attemptsAfterNext(); }
+    bool mayRetryUnanswered() const { return m_rules.repeatable && hasAttemptsAfterNext(); }
     // The same if its stream breaks off. Preconditions: none.
-    bool mayRetryBroken() const { return m_rules.resumable && attemptsAfterNext(); }
+    bool mayRetryBroken() const { return m_rules.resumable && hasAttemptsAfterNext(); }
 
     // Whether any attempt may have run. Preconditions: none.
     bool mayHaveRun() const { return m_mayHaveRun; }
@@ -121,7 +121,7 @@
     int attempts() const { return m_attempts; }
 
 private:
-    bool attemptsAfterNext() const { return m_attempts + 1 < m_rules.maxAttempts; }
+    bool hasAttemptsAfterNext() const { return m_attempts + 1 < m_rules.maxAttempts; }
     void note(AttemptEnd end);
     StepReason retryReason(AttemptEnd end, const AttemptFacts& facts) const;
 
--- a/src/relay/EventStream.cpp
+++ b/src/relay/EventStream.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::optional<uint64_t> IdOf(std::string_view event) {
+std::optional<uint64_t> ParseEventId(std::string_view event) {
     std::optional<uint64_t> id;
     while (!event.empty()) {
         const size_t end = event.find('\n');
@@ -27,7 +27,7 @@
 }
 
 // Where the first whole event ends, or npos.
-size_t EndOfEvent(std::string_view text) {
+size_t FindEventEnd(std::string_view text) {
     const size_t plain = text.find("\n\n");
     const size_t carriage = text.find("\r\n\r\n");
     const size_t plainEnd = plain == std::string_view::npos ? plain : plain + 2;
@@ -43,7 +43,7 @@
     size_t taken = 0;
     while (true) {
         const std::string_view text = std::string_view(m_incomplete).substr(taken);
-        size_t end = EndOfEvent(text);
+        size_t end = FindEventEnd(text);
         if (end == std::string_view::npos && text.size() > kMaxEventBytes) {
             end = text.size();
         }
@@ -51,7 +51,7 @@
             break;
         }
         const std::string_view event = text.substr(0, end);
-        events.push_back({std::string(event), IdOf(event)});
+        events.push_back({std::string(event), ParseEventId(event)});
         taken += end;
     }
     m_incomplete.erase(0, taken);
