--- a/include/relay/RequestAttempts.h
+++ b/include/relay/RequestAttempts.h
@@ -88,7 +88,7 @@
     // Preconditions: none.
     template <class TakeRetry>
     Verdict ended(AttemptEnd end, const AttemptFacts& facts, TakeRetry&& takeRetry) {
-        note(end);
+        countAttempt(end);
         if (end == AttemptEnd::kAnswered) {
             return {NextStep::kDeliver, StepReason::kAnswered};
         }
@@ -103,11 +103,11 @@
         if (end == AttemptEnd::kFailed && !facts.callerHasHead) {
             return {NextStep::kDeliver, reason};
         }
-        return giveUp(facts.callerHasHead, reason);
+        return stepWithoutRetry(facts.callerHasHead, reason);
     }
 
     // What to tell a caller whose request ends without another attempt. Preconditions: none.
-    Verdict giveUp(bool callerHasHead, StepReason reason) const;
+    Verdict stepWithoutRetry(bool callerHasHead, StepReason reason) const;
 
     // Whether another attempt could follow the next one, if that finds no answer at all.
     // Preconditions: none.
@@ -122,7 +122,7 @@
 
 private:
     bool hasAttemptsAfterNext() const { return m_attempts + 1 < m_rules.maxAttempts; }
-    void note(AttemptEnd end);
+    void countAttempt(AttemptEnd end);
     StepReason retryReason(AttemptEnd end, const AttemptFacts& facts) const;
 
     AttemptRules m_rules;
--- a/src/gateway/RequestHandler.cpp
+++ b/src/gateway/RequestHandler.cpp
@@ -88,7 +88,8 @@
     while (true) {
         const auto next = place();
         if (!next) {
-            const Verdict verdict = m_attempts.giveUp(m_relay->headSent(), StepReason::kNoUpstream);
+            const Verdict verdict =
+                m_attempts.stepWithoutRetry(m_relay->headSent(), StepReason::kNoUpstream);
             co_return co_await conclude(verdict);
         }
         const Verdict verdict = co_await attempt(*next);
@@ -102,7 +103,8 @@
         if (!refusal) {
             continue;
         }
-        const Verdict last = m_attempts.giveUp(m_relay->headSent(), StepReason::kRefusedSince);
+        const Verdict last =
+            m_attempts.stepWithoutRetry(m_relay->headSent(), StepReason::kRefusedSince);
         if (last.step == NextStep::kRefuse) {
             co_return co_await refuse(*refusal);
         }
--- a/src/relay/AttemptBounds.cpp
+++ b/src/relay/AttemptBounds.cpp
@@ -17,8 +17,8 @@
         return wait.deadline;
     }
     const Millis half = (wait.deadline - now) / 2;
-    const Millis least = stream ? stallTimeout : half;
-    return std::min(wait.deadline, now + std::max(least, 2 * objective));
+    const Millis minWait = stream ? stallTimeout : half;
+    return std::min(wait.deadline, now + std::max(minWait, 2 * objective));
 }
 
 MonoTime NextPieceDeadline(const AttemptWait& wait, Millis stallTimeout, MonoTime now) {
--- a/src/relay/RequestAttempts.cpp
+++ b/src/relay/RequestAttempts.cpp
@@ -48,7 +48,7 @@
     return "invalid";
 }
 
-void RequestAttempts::note(AttemptEnd end) {
+void RequestAttempts::countAttempt(AttemptEnd end) {
     if (end == AttemptEnd::kNotSent || end == AttemptEnd::kMisdirected) {
         ++m_unsent;  // No upstream of the service has had it.
         return;
@@ -76,7 +76,7 @@
     return StepReason::kMayRetry;
 }
 
-Verdict RequestAttempts::giveUp(bool callerHasHead, StepReason reason) const {
+Verdict RequestAttempts::stepWithoutRetry(bool callerHasHead, StepReason reason) const {
     if (callerHasHead) {
         return {NextStep::kBreak, reason};
     }
