--- a/tests/AttemptBoundsTest.cpp
+++ b/tests/AttemptBoundsTest.cpp
@@ -8,8 +8,8 @@
 
 constexpr Millis kStall = 1500;
 const MonoTime kNow{1000};
-const AttemptWait kRetried{true, {11000}};
-const AttemptWait kLast{false, {11000}};
+const AttemptWait kEarlierAttempt{true, {11000}};
+const AttemptWait kLastAttempt{false, {11000}};
 
 }  // namespace
 
@@ -27,19 +27,20 @@
 
 TEST_CASE("The last attempt waits until the deadline, an earlier one leaves time for another") {
     for (const bool stream : {false, true}) {
-        CHECK(FirstByteDeadline(kLast, 200, stream, kStall, kNow) == kLast.deadline);
-        CHECK(FirstByteDeadline(kRetried, 200, stream, kStall, kNow) < kRetried.deadline);
+        CHECK(FirstByteDeadline(kLastAttempt, 200, stream, kStall, kNow) == kLastAttempt.deadline);
+        CHECK(FirstByteDeadline(kEarlierAttempt, 200, stream, kStall, kNow) <
+              kEarlierAttempt.deadline);
     }
-    CHECK(NextPieceDeadline(kLast, kStall, kNow) == kLast.deadline);
-    CHECK(NextPieceDeadline(kRetried, kStall, kNow) == kNow + kStall);
+    CHECK(NextPieceDeadline(kLastAttempt, kStall, kNow) == kLastAttempt.deadline);
+    CHECK(NextPieceDeadline(kEarlierAttempt, kStall, kNow) == kNow + kStall);
 }
 
 TEST_CASE(
     "A first byte gets half of the time left, or a stall's, and twice the objective at least") {
-    CHECK(FirstByteDeadline(kRetried, 200, false, kStall, kNow) == MonoTime{6000});
-    CHECK(FirstByteDeadline(kRetried, 200, true, kStall, kNow) == MonoTime{2500});
-    CHECK(FirstByteDeadline(kRetried, 1000, true, kStall, kNow) == MonoTime{3000});
-    CHECK(FirstByteDeadline(kRetried, 9000, true, kStall, kNow) == kRetried.deadline);
+    CHECK(FirstByteDeadline(kEarlierAttempt, 200, false, kStall, kNow) == MonoTime{6000});
+    CHECK(FirstByteDeadline(kEarlierAttempt, 200, true, kStall, kNow) == MonoTime{2500});
+    CHECK(FirstByteDeadline(kEarlierAttempt, 1000, true, kStall, kNow) == MonoTime{3000});
+    CHECK(FirstByteDeadline(kEarlierAttempt, 9000, true, kStall, kNow) == kEarlierAttempt.deadline);
 }
 
 TEST_CASE("No attempt is begun without time for it") {
--- a/tests/RequestAttemptsTest.cpp
+++ b/tests/RequestAttemptsTest.cpp
@@ -21,15 +21,15 @@
 
 // Walks every sequence of ends that the state allows, and calls `check` at each final step.
 template <class Check>
-void Walk(const AttemptRules& rules, const AttemptFacts& facts, std::vector<AttemptEnd>& path,
-          const RequestAttempts& state, Check&& check) {
+void VisitPaths(const AttemptRules& rules, const AttemptFacts& facts, std::vector<AttemptEnd>& path,
+                const RequestAttempts& state, Check&& check) {
     for (const AttemptEnd end : kEnds) {
         RequestAttempts next = state;
         const NextStep step = next.ended(end, facts, [] { return true; }).step;
         path.push_back(end);
         if (step == NextStep::kRetry) {
             REQUIRE(path.size() < 20);
-            Walk(rules, facts, path, next, check);
+            VisitPaths(rules, facts, path, next, check);
         } else {
             check(path, step);
         }
@@ -46,7 +46,7 @@
     facts.callerHasHead = head;
     std::vector<AttemptEnd> path;
     int paths = 0;
-    Walk(rules, facts, path, RequestAttempts(rules), [&](const auto& ends, NextStep step) {
+    VisitPaths(rules, facts, path, RequestAttempts(rules), [&](const auto& ends, NextStep step) {
         ++paths;
         int ran = 0;
         for (const AttemptEnd end : ends) {
@@ -62,7 +62,7 @@
     const AttemptRules rules{true, true, GENERATE(1, 2, 3)};
     const AttemptFacts facts;
     std::vector<AttemptEnd> path;
-    Walk(rules, facts, path, RequestAttempts(rules), [&](const auto& ends, NextStep step) {
+    VisitPaths(rules, facts, path, RequestAttempts(rules), [&](const auto& ends, NextStep step) {
         int attempts = 0;
         bool mayHaveRun = false;
         for (const AttemptEnd end : ends) {
