--- a/include/relay/AttemptBounds.h
+++ b/include/relay/AttemptBounds.h
@@ -1,67 +1,75 @@
-// Decides when an attempt is given up: how long its connection may take to open, how long bytes may
-// stay unacknowledged, how long the first byte and the next piece of an answer are waited for, and
-// with how much time left no attempt is begun.
+// Timeouts of one attempt: for opening its connection, for the acknowledgement of sent bytes, and
+// for the first byte and each further piece of the answer. Also the minimum time before the
+// deadline that is required to start an attempt.
 //
-// Inputs: the route's latency objective, the request's deadline, whether another attempt could
-// follow; all times in milliseconds.
+// Inputs: the route's latency objective, the request's deadline, and whether another attempt could
+// follow. All durations are in milliseconds.
 //
-// The reason: what is left of the objective is what another upstream can be tried in. The last
-// attempt has nothing to save time for and waits until the deadline.
+// An attempt that another one could follow ends early, so that part of the objective is left for
+// trying another upstream. The last attempt has no reason to save time: it waits for its answer
+// until the deadline.
 #pragma once
 
 #include "include/base/Time.h"
 
 namespace onyx {
 
-// Bounds on the signs of life of an upstream's machine.
+// Timeouts that detect an unreachable upstream machine.
 struct ConnectionBounds {
-    // Several round trips between regions (24 ms). A packet lost while a connection opens is sent
-    // again after a second only, so waiting a little longer gains nothing.
+    // Several round trips between regions (24 ms). A packet lost while a connection opens is
+    // retransmitted only after 1 s, so a slightly longer timeout gains nothing.
     static constexpr Millis kMinConnect = 100;
-    // A lost packet is sent again after 200 ms: the second time it is lost the network is cut, or
-    // as bad. The most outlasts a third one, for objectives that leave the time. With 700 ms for
-    // all routes, the time behind a cut was seven objectives of a lookup; worth of days with
-    // trouble 0.796, with these bounds 0.800.
+    // A lost packet is retransmitted after 200 ms. If the retransmission is lost as well, the
+    // network is cut or nearly as bad. The maximum outlasts a third loss, on routes whose objective
+    // leaves enough time. With 700 ms for all routes, the time lost to a network cut was seven times
+    // the objective of a lookup; these bounds raised the score of days with faults from 0.796 to
+    // 0.800.
     static constexpr Millis kMinUnacknowledged = 300;
     static constexpr Millis kMaxUnacknowledged = 700;
 
-    Millis connect = kMinConnect;                // For a new connection to open.
-    Millis unacknowledged = kMaxUnacknowledged;  // For bytes sent to be acknowledged.
+    Millis connect = kMinConnect;                // To open a new connection.
+    Millis unacknowledged = kMaxUnacknowledged;  // Until sent bytes are acknowledged.
 
-    // Bounds for a route with this objective; connections get at most `maxConnect`.
+    // Returns the bounds for a route with the latency objective `objective`: a quarter of it to
+    // connect, at least `kMinConnect` and at most `maxConnect` (which takes precedence), and
+    // half of it for acknowledgements, between `kMinUnacknowledged` and `kMaxUnacknowledged`.
     // Preconditions: objective >= 0. Thread safety: any thread.
     static ConnectionBounds ForObjective(Millis objective, Millis maxConnect);
 };
 
-// Keep-alive probes that an upstream's machine does not answer end the connection, 3 s after the
-// network to it is cut: an answer that will not come is waited for no longer. Sent only while an
-// answer is due; see UpstreamExchange.
+// TCP keep-alive: the idle time before the first probe, in milliseconds, and the number of
+// unanswered probes that end the connection. A connection ends 3 s after the network to the
+// upstream's machine is cut, so that no attempt waits longer for an answer that cannot arrive.
+// Probes are sent only while an answer is due; see UpstreamExchange.
 inline constexpr Millis kKeepAliveIdle = 1000;
 inline constexpr int kKeepAliveCount = 2;
 
-// With less of the deadline left, in milliseconds, no attempt is begun: a round trip and the
-// shortest answer take about as long.
+// Minimum time before the deadline, in milliseconds, to start an attempt: about one round trip plus
+// the shortest answer.
 inline constexpr Millis kMinAttemptTime = 20;
 
-// What the waits of an attempt depend on.
+// Inputs to the deadlines of an attempt's answer.
 struct AttemptWait {
     bool mayRetry = false;  // Another attempt could follow this one.
-    MonoTime deadline;      // Of the request.
+    MonoTime deadline;      // Deadline of the request.
 };
 
-// Until when the first byte of an answer is waited for. A stream's first event may take as long as
-// a silence between two others, `stallTimeout`; a whole answer may take half of the time left. Both
-// get twice the route's objective at least, since most late answers still come within that.
+// Returns the time by which the first byte of an answer must arrive. If no other attempt could
+// follow, this is the request's deadline. Otherwise the first event of a stream may take
+// `stallTimeout`, the longest silence allowed between two later events, and a whole answer may take
+// half of the time left. Both get at least twice the route's objective, since most late answers
+// arrive within that time, but never more than the time left.
 // Preconditions: none. Thread safety: any thread.
 MonoTime FirstByteDeadline(const AttemptWait& wait, Millis objective, bool stream,
                            Millis stallTimeout, MonoTime now);
 
-// Until when the next piece of an answer that has begun is waited for. Preconditions: none.
-// Thread safety: any thread.
+// Returns the time by which the next piece of an answer that has begun must arrive: `stallTimeout`
+// from `now` and at most the request's deadline, or the deadline if no other attempt could follow.
+// Preconditions: none. Thread safety: any thread.
 MonoTime NextPieceDeadline(const AttemptWait& wait, Millis stallTimeout, MonoTime now);
 
-// Whether enough of the deadline is left for an attempt. Preconditions: none.
-// Thread safety: any thread.
+// Returns whether at least `kMinAttemptTime` is left until `deadline`.
+// Preconditions: none. Thread safety: any thread.
 bool HasTimeForAttempt(MonoTime deadline, MonoTime now);
 
 }  // namespace onyx
