--- a/include/relay/EventStream.h
+++ b/include/relay/EventStream.h
@@ -1,5 +1,5 @@
-// Cuts a stream of server-sent events into whole events, so that a broken one is never passed on
-// and each event goes to the caller once.
+// Splits a stream of server-sent events into complete events, so that a truncated event is never
+// forwarded and each event reaches the caller once.
 #pragma once
 
 #include <cstdint>
@@ -10,25 +10,29 @@
 
 namespace onyx {
 
-// One whole event, its closing blank line included.
+// One complete event.
 struct StreamEvent {
-    std::string bytes;
-    std::optional<uint64_t> id;
+    std::string bytes;           // Includes the terminating blank line.
+    std::optional<uint64_t> id;  // Absent if the event has no numeric id.
 };
 
-// Not thread safe: one task owns it.
+// Incremental parser of one stream. Not thread safe: one task owns it.
 class EventStream {
 public:
-    // An event longer than this is passed on in pieces without an id.
+    // Maximum size of a buffered event, in bytes. A longer event is returned in pieces, which
+    // bounds the memory for an event that never ends. A piece has an id only if it contains an id
+    // line.
     static constexpr size_t kMaxEventBytes = size_t{1} << 20;
 
-    // Takes in bytes and returns the events that they complete. Preconditions: none.
+    // Appends `bytes` to the stream and returns the events that they complete, in order.
+    // Preconditions: none.
     std::vector<StreamEvent> feed(std::string_view bytes);
 
-    // Bytes of an event that is not complete. Preconditions: none.
+    // Returns the bytes of the event that is not complete yet. The view is valid until the next
+    // call of feed() or reset(). Preconditions: none.
     std::string_view incomplete() const { return m_incomplete; }
 
-    // Drops what is left of an event that broke off. Preconditions: none.
+    // Discards the bytes of an incomplete event, after its stream broke off. Preconditions: none.
     void reset() { m_incomplete.clear(); }
 
 private:
--- a/src/relay/EventStream.cpp
+++ b/src/relay/EventStream.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+// Returns the last numeric id of an event, if it has one.
 std::optional<uint64_t> ParseEventId(std::string_view event) {
     std::optional<uint64_t> id;
     while (!event.empty()) {
@@ -26,7 +27,7 @@
     return id;
 }
 
-// Where the first whole event ends, or npos.
+// Returns the offset just past the first complete event, or npos if there is none.
 size_t FindEventEnd(std::string_view text) {
     const size_t plain = text.find("\n\n");
     const size_t carriage = text.find("\r\n\r\n");
--- a/tests/EventStreamTest.cpp
+++ b/tests/EventStreamTest.cpp
@@ -6,7 +6,7 @@
 
 using namespace onyx;
 
-TEST_CASE("Events come out whole and once, however their bytes are cut") {
+TEST_CASE("Each event is returned complete and once, however the input is split") {
     std::string text;
     for (int i = 1; i <= 50; ++i) {
         const char* end = i % 3 == 0 ? "\r\n" : "\n";
@@ -30,7 +30,7 @@
     CHECK(stream.incomplete().empty());
 }
 
-TEST_CASE("What is left of a broken event is not passed on") {
+TEST_CASE("An incomplete event is not returned, and reset() discards it") {
     EventStream stream;
     CHECK(stream.feed("id: 1\ndata: a\n\nid: 2\nda").size() == 1);
     CHECK(stream.incomplete() == "id: 2\nda");
@@ -38,7 +38,7 @@
     CHECK(stream.incomplete().empty());
 }
 
-TEST_CASE("An event without an id, or with one that is no number, has none") {
+TEST_CASE("An event without a numeric id has no id") {
     EventStream stream;
     const auto events = stream.feed("data: a\n\nid: x\n\n");
     REQUIRE(events.size() == 2);
@@ -46,7 +46,7 @@
     CHECK_FALSE(events[1].id.has_value());
 }
 
-TEST_CASE("An endless event does not fill the memory") {
+TEST_CASE("The buffer for an event that never ends is bounded") {
     EventStream stream;
     const std::string piece(64 * 1024, 'x');
     for (int i = 0; i < 100; ++i) {
