--- a/include/relay/RequestAttempts.h
+++ b/include/relay/RequestAttempts.h
@@ -1,14 +1,15 @@
-// Decides what follows an attempt of a request: another attempt, the answer, or giving up.
+// Decides what follows an attempt of a request: a retry, delivery of the answer, or an error.
 //
-// Inputs: how the attempts so far ended; what the route allows (repeatable, resumable, attempts);
-// whether there is time for another; whether the caller has the head of an answer; and, asked only
-// when all else allows a retry, the retry budget.
+// Inputs: how the attempts so far ended; what the route allows (repeatable, resumable, number of
+// attempts); whether there is time for another attempt; whether the caller has received the head of
+// an answer; and the retry budget, which is consulted only if every other rule allows a retry.
 //
-// The rules: a request that may have run is sent again only if its route is repeatable, so that one
-// that is not runs at most once. "Not run" is said only if no attempt may have run. Attempts that
-// reached no upstream of the service cost no budget and have a limit of their own.
+// Rules: a request that may have run is sent again only if its route is repeatable, so a request of
+// any other route runs at most once. A caller is informed that its request did not run only if no
+// attempt may have run it. A retry after an attempt that was not sent takes nothing from the retry
+// budget. Attempts that reached no upstream of the service have a limit of their own.
 //
-// A pure state machine: the same ends give the same steps.
+// The state machine is deterministic: the same inputs give the same steps.
 #pragma once
 
 #include <cstdint>
@@ -19,63 +20,64 @@
 // How one attempt ended.
 enum class AttemptEnd : uint8_t {
     kNotSent,       // No byte of the request left this box.
-    kDeclined,      // The upstream says that it did not run the request.
-    kMisdirected,   // Another upstream has the address; the request did not run.
-    kFailed,        // The upstream ran it and answered with a failure.
-    kUnclear,       // It may have run: no answer, a broken one, or one that is not ours.
-    kAnswered,      // A whole answer, or a stream to its end.
-    kStreamBroken,  // A stream broke off after its first event.
+    kDeclined,      // The upstream reported that it did not run the request.
+    kMisdirected,   // The address belongs to another upstream; the request did not run.
+    kFailed,        // The upstream ran the request and answered with a failure.
+    kUnclear,       // May have run: the answer is absent, truncated or not authentic.
+    kAnswered,      // A complete answer, or a stream up to its end.
+    kStreamBroken,  // The stream broke off after its first event.
 };
 
-// The end of an attempt as it stands in logs and metrics. Thread safety: any thread.
+// Returns the name of `end` in logs and metrics. Thread safety: any thread.
 std::string_view AttemptEndName(AttemptEnd end);
 
-// What follows.
+// What to do after an attempt.
 enum class NextStep : uint8_t {
-    kDeliver,  // Give the caller the upstream's answer.
+    kDeliver,  // Send the upstream's answer to the caller.
     kRetry,    // Try another upstream.
-    kRefuse,   // Tell the caller that it did not run, and when to retry.
-    kFail,     // Tell the caller that nothing can be said.
-    kBreak,    // End the caller's stream so that it is seen to be broken.
+    kRefuse,   // Answer that the request did not run, and when to retry.
+    kFail,     // Answer that it is unknown whether the request ran.
+    kBreak,    // End the caller's stream in a way that shows it is incomplete.
 };
 
-// Why a step is the next one.
+// Why a step was chosen.
 enum class StepReason : uint8_t {
-    kAnswered,         // There is an answer.
+    kAnswered,         // The upstream answered.
     kMayRetry,         // All rules allow another attempt.
-    kNoTime,           // Too little of the deadline is left, or the caller has gone.
-    kAttemptsUsed,     // The route allows no more.
+    kNoTime,           // Too little time before the deadline, or the caller disconnected.
+    kAttemptsUsed,     // The route allows no more attempts.
     kConnectionsUsed,  // Too many attempts reached no upstream of the service.
-    kNotRepeatable,    // It may have run, and the route does not allow a second run.
-    kNotResumable,     // Its stream has begun and cannot go on elsewhere.
-    kNoBudget,         // The retry budget is used up.
-    kNoUpstream,       // There is no upstream to try.
-    kRefusedSince,     // It would not be admitted any more.
+    kNotRepeatable,    // May have run, and the route does not allow a second run.
+    kNotResumable,     // The stream has begun and cannot resume on another upstream.
+    kNoBudget,         // The retry budget is exhausted.
+    kNoUpstream,       // No upstream is left to try.
+    kRefusedSince,     // The request would no longer be admitted.
 };
 
-// The reason as it stands in the log. Thread safety: any thread.
+// Returns the name of `reason` in the log. Thread safety: any thread.
 std::string_view StepReasonName(StepReason reason);
 
-// What follows, and why.
+// The next step and the reason for it.
 struct Verdict {
     NextStep step = NextStep::kFail;
     StepReason reason = StepReason::kNoUpstream;
 };
 
-// What the route allows.
+// What the route allows. A repeatable request may run more than once; a resumable stream may
+// continue on another upstream after it broke off.
 struct AttemptRules {
     bool repeatable = false;
     bool resumable = false;
-    int maxAttempts = 1;  // Upstreams of the service that may have the request.
-    // Attempts that may reach no upstream of the service before the request is given up:
-    // after as many refused connections the list of upstreams is likely wrong.
+    int maxAttempts = 1;  // Upstreams of the service that may receive the request.
+    // Limit of attempts that reach no upstream of the service. After this many refused connections
+    // the list of upstreams is probably wrong, so the request ends.
     int maxUnsent = 4;
 };
 
-// What is true when an attempt has ended.
+// Circumstances at the end of an attempt.
 struct AttemptFacts {
-    bool timeLeft = true;        // Enough of the deadline for another attempt.
-    bool callerHasHead = false;  // The caller got the head of a stream.
+    bool timeLeft = true;        // Enough time before the deadline for another attempt.
+    bool callerHasHead = false;  // The caller has received the head of a stream.
 };
 
 // The attempts of one request. Not thread safe: one task owns it.
@@ -83,9 +85,9 @@
 public:
     explicit RequestAttempts(const AttemptRules& rules) : m_rules(rules) {}
 
-    // Takes in how an attempt ended and says what follows. `takeRetry` is asked only when another
-    // attempt would go to a service that has had this request; it takes from the budget.
-    // Preconditions: none.
+    // Records how an attempt ended and returns the next step. `takeRetry` takes one retry from the
+    // retry budget and returns false if the budget is exhausted. It is called only if every other
+    // rule allows a retry and this attempt did not end with `kNotSent`. Preconditions: none.
     template <class TakeRetry>
     Verdict ended(AttemptEnd end, const AttemptFacts& facts, TakeRetry&& takeRetry) {
         countAttempt(end);
@@ -99,25 +101,28 @@
         if (reason == StepReason::kMayRetry) {
             return {NextStep::kRetry, reason};
         }
-        // A failure that nothing better follows is the upstream's answer.
+        // Without a retry, the upstream's failure is the answer to the request.
         if (end == AttemptEnd::kFailed && !facts.callerHasHead) {
             return {NextStep::kDeliver, reason};
         }
         return stepWithoutRetry(facts.callerHasHead, reason);
     }
 
-    // What to tell a caller whose request ends without another attempt. Preconditions: none.
+    // Returns the step for a request that ends without another attempt: `kBreak` if the caller has
+    // the head of a stream, `kFail` if any attempt may have run, otherwise `kRefuse`.
+    // Preconditions: none.
     Verdict stepWithoutRetry(bool callerHasHead, StepReason reason) const;
 
-    // Whether another attempt could follow the next one, if that finds no answer at all.
+    // Returns whether another attempt could follow the next one if the next one gets no answer.
     // Preconditions: none.
     bool mayRetryUnanswered() const { return m_rules.repeatable && hasAttemptsAfterNext(); }
-    // The same if its stream breaks off. Preconditions: none.
+    // Returns whether another attempt could follow the next one if its stream breaks off.
+    // Preconditions: none.
     bool mayRetryBroken() const { return m_rules.resumable && hasAttemptsAfterNext(); }
 
-    // Whether any attempt may have run. Preconditions: none.
+    // Returns whether any attempt may have run the request. Preconditions: none.
     bool mayHaveRun() const { return m_mayHaveRun; }
-    // Upstreams of the service that had the request. Preconditions: none.
+    // Returns the number of attempts that reached an upstream of the service. Preconditions: none.
     int attempts() const { return m_attempts; }
 
 private:
--- a/src/relay/RequestAttempts.cpp
+++ b/src/relay/RequestAttempts.cpp
@@ -50,7 +50,7 @@
 
 void RequestAttempts::countAttempt(AttemptEnd end) {
     if (end == AttemptEnd::kNotSent || end == AttemptEnd::kMisdirected) {
-        ++m_unsent;  // No upstream of the service has had it.
+        ++m_unsent;  // No upstream of the service received the request.
         return;
     }
     ++m_attempts;
--- a/tests/RequestAttemptsTest.cpp
+++ b/tests/RequestAttemptsTest.cpp
@@ -19,7 +19,7 @@
            end != AttemptEnd::kMisdirected;
 }
 
-// Walks every sequence of ends that the state allows, and calls `check` at each final step.
+// Visits every sequence of attempt ends that the state allows and calls `check` at each final step.
 template <class Check>
 void VisitPaths(const AttemptRules& rules, const AttemptFacts& facts, std::vector<AttemptEnd>& path,
                 const RequestAttempts& state, Check&& check) {
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("A request that may not be repeated runs at most once, and a refusal is true") {
+TEST_CASE("A non-repeatable request runs at most once and is refused only if it cannot have run") {
     const bool head = GENERATE(false, true);
     const AttemptRules rules{false, false, GENERATE(1, 2, 3)};
     AttemptFacts facts;
@@ -58,7 +58,7 @@
     CHECK(paths > 7);
 }
 
-TEST_CASE("A repeatable request goes to no more upstreams than its route allows") {
+TEST_CASE("A repeatable request reaches at most as many upstreams as its route allows") {
     const AttemptRules rules{true, true, GENERATE(1, 2, 3)};
     const AttemptFacts facts;
     std::vector<AttemptEnd> path;
@@ -74,7 +74,7 @@
     });
 }
 
-TEST_CASE("Nothing is sent again without time, or without a budget once it was sent") {
+TEST_CASE("A retry needs time, and also retry budget if the request was sent") {
     const AttemptRules rules{true, true, 3};
     AttemptFacts late;
     late.timeLeft = false;
@@ -86,7 +86,7 @@
     CHECK(third.ended(AttemptEnd::kNotSent, {}, [] { return false; }).step == NextStep::kRetry);
 }
 
-TEST_CASE("A failed answer goes to the caller when nothing more is tried, unless it has a head") {
+TEST_CASE("Without a retry, a failure is delivered unless the caller has the head of a stream") {
     const AttemptRules rules{false, false, 1};
     RequestAttempts plain(rules);
     CHECK(plain.ended(AttemptEnd::kFailed, {}, [] { return true; }).step == NextStep::kDeliver);
@@ -97,7 +97,7 @@
           NextStep::kBreak);
 }
 
-TEST_CASE("A broken stream goes on elsewhere only if it may be resumed") {
+TEST_CASE("A broken stream continues on another upstream only if it is resumable") {
     AttemptFacts headSent;
     headSent.callerHasHead = true;
     RequestAttempts resumable(AttemptRules{true, true, 2});
@@ -108,7 +108,7 @@
           NextStep::kBreak);
 }
 
-TEST_CASE("Why a request is not tried again is said with the step") {
+TEST_CASE("The verdict contains the reason why a request is not retried") {
     const auto yes = [] { return true; };
     const auto no = [] { return false; };
     const AttemptFacts facts;
@@ -135,7 +135,7 @@
     CHECK(reason == StepReason::kConnectionsUsed);
 }
 
-TEST_CASE("The last attempt that a route allows is known before it is made") {
+TEST_CASE("The last attempt that a route allows is recognized before it starts") {
     RequestAttempts attempts({true, false, 2});
     CHECK(attempts.mayRetryUnanswered());
     CHECK_FALSE(attempts.mayRetryBroken());
