--- a/include/relay/AttemptBounds.h
+++ b/include/relay/AttemptBounds.h
@@ -21,9 +21,9 @@
     static constexpr Millis kMinConnect = 100;
     // A lost packet is retransmitted after 200 ms. If the retransmission is lost as well, the
     // network is cut or nearly as bad. The maximum outlasts a third loss, on routes whose objective
-    // leaves enough time. With 700 ms for all routes, the time lost to a network cut was seven times
-    // the objective of a lookup; these bounds raised the score of days with faults from 0.796 to
-    // 0.800.
+    // leaves enough time. With 700 ms for all routes, the time lost to a network cut was seven
+    // times the objective of a lookup; these bounds raised the score of days with faults from 0.796
+    // to 0.800.
     static constexpr Millis kMinUnacknowledged = 300;
     static constexpr Millis kMaxUnacknowledged = 700;
 
